--- a/src/include/amaranthroute/policy/shedder.h
+++ b/src/include/amaranthroute/policy/shedder.h
@@ -1,25 +1,25 @@
 #ifndef AMARANTHROUTE_POLICY_SHEDDER_H_
 #define AMARANTHROUTE_POLICY_SHEDDER_H_
 
-/// Which requests are turned away before they cost anything.
+/// Load shedding: decides which requests are refused before they use capacity.
 ///
 /// Load pattern: demand of several times the capacity, for longer than a queue
-/// can absorb. Without shedding the queue is always full; each hop of a deep
-/// chain then drops at random, so that with half the calls dropped at each of
-/// three hops one request in eight succeeds, and the work of the other seven
-/// is wasted.
+/// can absorb. Without shedding the queue is always full and each hop of a deep
+/// chain drops calls at random: with half of the calls dropped at each of three
+/// hops, one request in eight succeeds and the work on the other seven is
+/// wasted.
 ///
-/// Each request has a level, from its tier and a hash of its id, that is the
-/// same at every hop; a hop lets in the levels from its threshold up (the idea
-/// of DAGOR). So what one hop lets in, an equally loaded one lets in too, a
-/// critical request is shed only when all below it are, and thresholds can
-/// travel upstream on answers.
+/// Each request has a shedding level, computed from its tier and a hash of its
+/// id, that is the same at every hop. A hop admits levels at or above its
+/// threshold, as in DAGOR. Equally loaded hops therefore admit the same
+/// requests, a critical request is shed only after all requests of lower
+/// levels, and thresholds can be propagated upstream on answers.
 ///
-/// The threshold is set once a window from counts: calls that the server
-/// started tell the capacity, arrivals by level tell the demand. At ten times
-/// the capacity one window is enough to find the right share, and when the
-/// demand falls back below the capacity one window takes the threshold back to
-/// 0, where a controller in fixed steps needs seconds for either.
+/// The threshold is computed once per window from counts: calls started by the
+/// server give the capacity, arrivals by level give the demand. At ten times
+/// the capacity one window is enough to find the right share, and when demand
+/// falls below the capacity again one window returns the threshold to 0. A
+/// controller with fixed steps needs seconds for either.
 
 #include <array>
 #include <cstdint>
@@ -32,105 +32,112 @@
 
 namespace amaranth {
 
-/// Levels that one tier is divided into: steps of under 1% of a tier's load.
+/// Levels per tier. Each level holds less than 1% of the tier's load.
 inline constexpr uint32_t kLevelsPerTier = 128;
-/// The highest level. A threshold never goes above it, so that some critical
-/// requests always flow and tell of the recovery.
+/// The highest level. A threshold never exceeds it, so that some critical
+/// requests are always admitted and a recovery can be detected.
 inline constexpr uint32_t kMaxSheddingLevel = kTierCount * kLevelsPerTier;
 
-/// Groups of levels that are cut one after the other, two in each tier; see
+/// Groups of levels that are shed one after the other, two per tier; see
 /// LevelByCost.
 inline constexpr uint32_t kLevelsPerGroup = kLevelsPerTier / 2;
 inline constexpr uint32_t kLevelGroups = kMaxSheddingLevel / kLevelsPerGroup;
 
-/// Level of a request, 1 to kMaxSheddingLevel; the same at every hop.
+/// Returns the level of a request, from 1 to kMaxSheddingLevel. It is the same
+/// at every hop.
 uint32_t SheddingLevel(Tier tier, std::string_view request_id);
 
-/// Moves a level within its tier: requests that make calls of their own into
-/// the lower half, the others into the upper half. A request that makes eight
-/// calls at the service that is short costs it eight times as much as one that
-/// asks it directly and is worth no more; so it goes first.
-uint32_t LevelByCost(uint32_t level, bool makes_calls);
+/// Maps a level within its tier: requests that make nested calls to the lower
+/// half, all others to the upper half. A request that makes eight nested calls
+/// to an overloaded service costs it eight times as much as a direct request of
+/// the same value, so it is shed first.
+uint32_t LevelByCost(uint32_t level, bool makes_nested_calls);
 
-/// Targets and steps of a Shedder.
+/// Targets and step sizes of a Shedder.
 struct ShedderOptions {
-  /// Age of the oldest waiting call that is no overload. The oldest is of the
-  /// lowest tier let in, which waits for all others: with less, a server with
-  /// few slots runs out of calls by chance; with more, overload is seen later.
+  /// Age of the oldest waiting call up to which the service is not considered
+  /// overloaded. The oldest call belongs to the lowest admitted tier, which
+  /// waits for all others. With a lower target a server with few slots runs out
+  /// of calls by chance; with a higher one overload is detected later.
   Duration target_delay = std::chrono::milliseconds(80);
-  /// ... and never less than this many usual service times: with 10 slots and
-  /// 200 ms of service one call's turn is half of that.
-  double service_targets = 2.0;
-  /// Shortest window. Ten decisions in the second in which we recover.
+  /// Minimum of the target, in typical service times. With 10 slots and a
+  /// service time of 200 ms, waiting for one call to end takes half of this.
+  double target_service_times = 2.0;
+  /// Shortest window. Allows ten decisions within the recovery target of one
+  /// second.
   Duration window = std::chrono::milliseconds(100);
-  /// A window waits for this many starts, so that a server with 10 slots is
-  /// not judged by one or two calls, but no longer than max_window.
+  /// A window without a free slot stays open until it has this many starts, or
+  /// until max_window, so that a server with 10 slots is not judged by one or
+  /// two calls.
   uint32_t min_starts = 10;
   Duration max_window = std::chrono::milliseconds(400);
-  /// Over the target: let in this part of the capacity.
-  double lower = 0.95;
-  /// Over three times the target: this part, so the backlog shrinks by a tenth
-  /// of the capacity.
-  double lower_far = 0.9;
-  /// Under the target: let in this much more than the capacity.
-  double raise = 1.02;
-  /// Under the target, with a free slot seen: the capacity is higher than was
-  /// thought by at least this; the excess doubles with each such window in a
-  /// row, so three times the capacity is found in four windows.
-  double raise_idle = 1.1;
-  /// Set the threshold by the wait alone, for requests that are let in where
-  /// they enter and then make many calls here, one after the other. Counts tell
-  /// nothing of their demand: callers' nodes turn away what is under the
-  /// threshold, and what was let in asks for no more than the capacity however
-  /// long each call waits, so that a backlog once there would stand for good.
+  /// Fraction of the capacity to admit while the delay exceeds the target.
+  double decrease = 0.95;
+  /// Fraction of the capacity to admit while the delay exceeds three times the
+  /// target; the backlog then shrinks by a tenth of the capacity.
+  double severe_decrease = 0.9;
+  /// Multiple of the capacity to admit while the delay is within the target.
+  double increase = 1.02;
+  /// Factor on the estimated capacity when the delay is within the target and a
+  /// slot was free. The excess over 1 doubles with each such window in a row,
+  /// so three times the capacity is found in four windows.
+  double idle_increase = 1.1;
+  /// Compute the threshold from the wait alone. For requests that are admitted
+  /// at their entry node and then make many sequential calls here. Counts do
+  /// not reveal their demand: the callers' nodes refuse requests below the
+  /// threshold, and admitted requests generate no more calls than the capacity
+  /// however long each call waits, so an existing backlog would never drain.
   bool steer_by_wait = false;
-  /// With steer_by_wait: up to this wait everything is let in. What is under
-  /// way then is the business of the callers' windows (AdmissionWindow), which
-  /// follow it without a swing. A change of the threshold is felt a second
-  /// later, when the answers of three hops have carried it up: a queue of less
-  /// than this is empty by then, and slots stand idle until it fills again.
-  Duration calm_wait = std::chrono::milliseconds(100);
-  /// ... and over as much more as this the lowest group of levels in use goes,
-  /// then the next. A request that waits four times for the usual half of it
-  /// still ends within its target of a second.
-  Duration group_wait = std::chrono::milliseconds(130);
-  /// Each further group takes this many times as long: cutting the lowest one
-  /// shows only when its requests under way have ended, and until then the wait
-  /// must not cost the groups above.
-  double next_groups = 4.0;
-  /// The wait is taken as it will be after this, if it goes on as it does now:
-  /// a change is felt only when the answers of three hops have carried it up
-  /// and requests under way have ended. Without it the threshold swings between
-  /// nothing and everything every three seconds.
-  Duration wait_lead = std::chrono::milliseconds(300);
-  /// Weight of a new window in the moving averages; a window that differs from
-  /// them by more than chance allows replaces them.
+  /// With steer_by_wait: wait up to which everything is admitted. Below it the
+  /// callers' admission windows (AdmissionWindow) control the number of
+  /// requests in flight, without oscillation. A change of the threshold takes
+  /// effect a second later, after the answers of three hops have propagated it
+  /// upstream; a shorter queue is empty by then, and slots are idle until it
+  /// refills.
+  Duration tolerated_wait = std::chrono::milliseconds(100);
+  /// Additional wait over which the lowest group of levels in use is shed
+  /// completely, before the next group. A request that waits four times for
+  /// half of this still ends within its target of one second.
+  Duration wait_per_group = std::chrono::milliseconds(130);
+  /// Factor on wait_per_group for each further group. Shedding the lowest group
+  /// takes effect only after its requests in flight have ended; until then the
+  /// wait must not shed the groups above.
+  double further_group_factor = 4.0;
+  /// Time by which the wait is extrapolated linearly. A change takes effect
+  /// only after the answers of three hops have propagated it and requests in
+  /// flight have ended. Without extrapolation the threshold oscillates between
+  /// admitting everything and nothing every three seconds.
+  Duration prediction_horizon = std::chrono::milliseconds(300);
+  /// Weight of a new window in the exponential moving averages. A window that
+  /// differs from them by more than statistical noise replaces them.
   double gain = 0.3;
 };
 
-/// Threshold of one service at one serving node.
+/// Computes the shedding threshold of one service at one serving node.
 class Shedder {
  public:
   explicit Shedder(ShedderOptions options = {});
 
-  /// Changes ShedderOptions::target_delay.
+  /// Sets ShedderOptions::target_delay.
   void SetTargetDelay(Duration target);
 
-  /// Every call that arrives, whether it will be let in or not.
+  /// Records an arriving call; to be called whether it is admitted or not.
   void OnArrival(uint32_t level, TimePoint now);
-  /// Once for each call that is started: AdmissionQueue::standing_delay just
-  /// before it (0 if nothing waits). Not the started call's own wait: newest
-  /// first and by tier, that one is short in any overload, and nothing is shed.
+  /// Records the start of a call. `delay` is AdmissionQueue::standing_delay
+  /// just before the start (0 if nothing waits). It is not the wait of the
+  /// started call: with newest-first order and tiers that wait stays short in
+  /// any overload, and nothing would be shed.
   void OnQueueDelay(Duration delay, TimePoint now);
-  /// Usual time of a call in the server: a wait of `service_targets` of it is
-  /// ordinary and raises the target.
+  /// Sets the typical service time of a call. The target is at least
+  /// ShedderOptions::target_service_times times this value.
   void OnServiceTime(Duration service);
-  /// A slot is free and nothing waits.
+  /// Records that a slot is free and no call waits.
   void OnIdle(TimePoint now);
 
-  /// The lowest level let in; 0 (everything) to kMaxSheddingLevel.
+  /// Returns the lowest admitted level, from 0 (everything) to
+  /// kMaxSheddingLevel.
   uint32_t Threshold(TimePoint now);
-  /// Whether a call of `level` is let in.
+  /// Returns whether a call of `level` is admitted.
   bool Admits(uint32_t level, TimePoint now);
 
  private:
@@ -138,66 +145,69 @@
     TimePoint start{};
     uint32_t arrivals = 0;
     uint32_t starts = 0;
-    double delay = 0;  // sum over starts, microseconds
+    double delay = 0;  // sum over starts, in microseconds
     bool idle = false;
   };
 
-  void Roll(TimePoint now);
+  void CloseWindowIfOver(TimePoint now);
   bool WindowIsOver(TimePoint now) const;
   void CloseWindow(TimePoint now);
-  void SteerByCounts(double delay, double seconds);
-  void SteerByWait(double delay, double seconds, TimePoint now);
+  void UpdateThresholdByCounts(double delay, double seconds);
+  void UpdateThresholdByWait(double delay, double seconds, TimePoint now);
   uint32_t LowestLevelInUse(TimePoint now) const;
-  void LearnDemand(double seconds);
-  void LearnCapacity(double seconds, bool over);
+  void UpdateDemand(double seconds);
+  void UpdateCapacity(double seconds, bool overloaded);
   double Smoothed(double rate, double count, double seconds) const;
   uint32_t LevelForShare(double share) const;
 
   ShedderOptions options_;
-  std::array<double, kMaxSheddingLevel + 1> arrivals_{};  // of this window
-  std::array<double, kMaxSheddingLevel + 1> demand_{};    // shares by level
+  std::array<double, kMaxSheddingLevel + 1> arrivals_{};  // in this window
+  std::array<double, kMaxSheddingLevel + 1> demand_{};    // share by level
   Window window_;
-  double demand_rate_ = 0;  // arrivals per second
-  double capacity_ = 0;     // starts per second
-  double service_ = 0;      // microseconds
-  bool was_over_ = false;   // the last window
-  int idle_windows_ = 0;    // in a row
+  double demand_rate_ = 0;       // arrivals per second
+  double capacity_ = 0;          // starts per second
+  double service_ = 0;           // typical service time in microseconds
+  bool was_overloaded_ = false;  // in the last window
+  int idle_windows_ = 0;         // consecutive
   uint32_t threshold_ = 0;
-  double wait_ = 0;  // with steer_by_wait: smoothed, microseconds
-  std::array<TimePoint, kLevelGroups> group_seen_{};  // last arrival
+  double smoothed_wait_ = 0;  // with steer_by_wait, in microseconds
+  std::array<TimePoint, kLevelGroups> last_group_arrival_{};
   bool started_ = false;
 };
 
-/// Thresholds that answers brought from downstream services: a request that a
-/// deep service would shed is turned away at the entry, where it has cost
-/// nothing yet.
+/// Stores thresholds of downstream services, as reported on their answers. A
+/// request that a downstream service would shed is refused at the entry node,
+/// before it has used any capacity.
 ///
-/// Without an end to what was learned, a threshold that turns all of a node's
-/// requests away would stay for good, as no answer comes to lower it. So an
-/// entry that is not renewed falls linearly to 0; levels come back from the top
-/// down, and the first answer tells whether the service has recovered.
+/// A threshold that is not renewed decays linearly to 0. Without decay a
+/// threshold that refuses all requests of a node would stay forever, because no
+/// answer could lower it. During the decay the highest levels are admitted
+/// first, and the first answer shows whether the service has recovered.
 class DownstreamThresholds {
  public:
-  /// Several windows of a Shedder pass before an entry starts to fall.
-  static constexpr Duration kHold = std::chrono::milliseconds(250);
-  /// Then it is gone after this long, within the second that recovery may take.
-  static constexpr Duration kFall = std::chrono::milliseconds(500);
-  /// Weight of one answer; the servers of a service report each their own
-  /// threshold, and the mean of the last few is what a request will meet.
+  /// Age at which an entry starts to decay; longer than several windows of a
+  /// Shedder.
+  static constexpr Duration kDecayDelay = std::chrono::milliseconds(250);
+  /// Time that the decay to 0 takes, within the recovery target of one second.
+  static constexpr Duration kDecayTime = std::chrono::milliseconds(500);
+  /// Weight of one answer in the exponential moving average. Each backend
+  /// server of a service reports its own threshold; a request meets the mean of
+  /// them.
   static constexpr double kGain = 0.25;
 
-  /// An answer of `service` reported `threshold`.
+  /// Records that an answer of `service` reported `threshold`.
   void Learn(const std::string& service, uint32_t threshold, TimePoint now);
-  /// The lowest level worth sending to `service` now; 0 if unknown.
+  /// Returns the lowest level that `service` is expected to admit at `now`; 0
+  /// if unknown.
   uint32_t ThresholdFor(const std::string& service, TimePoint now) const;
 
-  /// What is left at `now` of a threshold reported at `learned`.
-  static double Faded(double threshold, TimePoint learned, TimePoint now);
+  /// Returns the decayed value at `now` of a threshold reported at `updated`.
+  static double Faded(double threshold, TimePoint updated, TimePoint now);
 
  private:
   struct Entry {
     double threshold = 0;
-    TimePoint learned{};
+    TimePoint updated{};
   };
 
   std::map<std::string, Entry> entries_;
--- a/src/libpolicy/shedder_test.cc
+++ b/src/libpolicy/shedder_test.cc
@@ -19,12 +19,13 @@
 using pvt::FakeNode;
 using pvt::FakeNodeOptions;
 
-constexpr double kFrom = 3;
-constexpr double kTo = 8;
+constexpr double kSurgeStart = 3;
+constexpr double kSurgeEnd = 8;
 constexpr double kTierShares[kTierCount] = {0.1, 0.4, 0.3, 0.2};
 
-// A server with `slots` of `service`, offered 0.8 of its capacity after a quiet
-// start, and `factor` times that from kFrom to kTo.
+// Returns a server with `slots` slots and a mean service time of `service`. The
+// offered load is 0.4 of its capacity in the first second, then 0.8, and
+// `factor` times 0.8 from kSurgeStart to kSurgeEnd.
 FakeNode SurgeNode(int slots, Duration service, double factor, uint64_t seed) {
   FakeNodeOptions options;
   options.limit.ceiling = slots;
@@ -38,7 +39,8 @@
     loads.push_back({"caller", static_cast<Tier>(tier),
                      [base, factor](double seconds) {
                        if (seconds < 1) return base * 0.5;
-                       const bool surge = seconds >= kFrom && seconds < kTo;
+                       const bool surge =
+                           seconds >= kSurgeStart && seconds < kSurgeEnd;
                        return surge ? base * factor : base;
                      },
                      service});
@@ -60,34 +62,36 @@
   double factor;
 };
 
-// Plays one surge; gives the part of the capacity that became good answers.
-double PlaySurge(const SurgeCase& surge, uint64_t seed) {
+// Runs one surge; returns the goodput during it as a fraction of the capacity.
+double RunSurge(const SurgeCase& surge, uint64_t seed) {
   FakeNode node = SurgeNode(surge.slots, surge.service, surge.factor, seed);
   node.RunUntil(12);
   const double capacity =
       surge.slots / std::chrono::duration<double>(surge.service).count();
-  // Tiers from the top down get what they ask for while it lasts; the tier that
-  // the line goes through bears all the noise.
-  double left = 1;
-  for (size_t tier = kTierCount; tier-- > 0 && left > 0;) {
-    const double asked = 0.8 * surge.factor * kTierShares[tier];
-    const double got = node.Tally(tier, kFrom + 0.5, kTo).good_share();
-    if (asked < left) CHECK(got >= 0.98);
-    if (asked >= left) CHECK(got * asked >= left - 0.1);
-    left -= asked;
+  // Capacity goes to the tiers from the highest down; only the tier at which it
+  // runs out is shed in part.
+  double remaining = 1;
+  for (size_t tier = kTierCount; tier-- > 0 && remaining > 0;) {
+    const double demand = 0.8 * surge.factor * kTierShares[tier];
+    const double good_share =
+        node.Tally(tier, kSurgeStart + 0.5, kSurgeEnd).good_share();
+    if (demand < remaining) CHECK(good_share >= 0.98);
+    if (demand >= remaining) CHECK(good_share * demand >= remaining - 0.1);
+    remaining -= demand;
   }
-  // What is let in is run: little of it is turned away in the queue, where the
-  // hops above have worked for it already.
-  double let_in = 0;
+  // Nearly all admitted calls are run: a call refused in the queue wastes the
+  // work that upstream hops have already done for it.
+  double admitted = 0;
   for (size_t tier = 0; tier < kTierCount; ++tier) {
-    let_in += node.Tally(tier, kFrom + 0.5, kTo).let_in / (kTo - kFrom - 0.5);
+    admitted += node.Tally(tier, kSurgeStart + 0.5, kSurgeEnd).let_in /
+                (kSurgeEnd - kSurgeStart - 0.5);
   }
-  const double good = GoodPerSecond(node, kFrom + 0.5, kTo);
-  CHECK(let_in - good <= 0.15 * capacity);
-  // A second after its end nothing is left of it.
-  CHECK(GoodPerSecond(node, kTo + 1, 11) >= 0.9 * 0.8 * capacity);
+  const double good = GoodPerSecond(node, kSurgeStart + 0.5, kSurgeEnd);
+  CHECK(admitted - good <= 0.15 * capacity);
+  // One second after the surge the node has recovered.
+  CHECK(GoodPerSecond(node, kSurgeEnd + 1, 11) >= 0.9 * 0.8 * capacity);
   const std::vector<uint32_t>& thresholds = node.thresholds();
-  const auto end = thresholds.begin() + static_cast<int>(kTo * 100);
+  const auto end = thresholds.begin() + static_cast<int>(kSurgeEnd * 100);
   CHECK_EQUAL(0u, *std::min_element(end, end + 100));
   return good / capacity;
 }
@@ -96,9 +100,9 @@
   constexpr uint64_t kRuns = 10;
   double sum = 0;
   for (uint64_t seed = 1; seed <= kRuns; ++seed) {
-    const double used = PlaySurge(surge, seed);
-    CHECK(used >= 0.9);
-    sum += used;
+    const double goodput = RunSurge(surge, seed);
+    CHECK(goodput >= 0.9);
+    sum += goodput;
   }
   CHECK(sum / kRuns >= 0.97);
 }
@@ -121,20 +125,20 @@
   }
 }
 
-TEST(ShedderTest, SurgesLeaveGoodputAndOrderAndNoTrace) {
-  const Duration quick = std::chrono::milliseconds(10);
-  const Duration slow = std::chrono::milliseconds(50);
+TEST(ShedderTest, SurgesKeepGoodputAndTierOrderAndThenRecover) {
+  const Duration short_service = std::chrono::milliseconds(10);
+  const Duration long_service = std::chrono::milliseconds(50);
   for (double factor : {2.0, 5.0, 10.0}) {
-    CheckSurge({10, quick, factor});
-    CheckSurge({100, slow, factor});
+    CheckSurge({10, short_service, factor});
+    CheckSurge({100, long_service, factor});
   }
 }
 
 TEST(ShedderTest, OrdinaryLoadAndShortBurstsAreNotShed) {
-  FakeNode calm = SurgeNode(100, std::chrono::milliseconds(50), 1, 3);
-  calm.RunUntil(12);
-  for (uint32_t threshold : calm.thresholds()) CHECK_EQUAL(0u, threshold);
-  // 120 ms at three times the capacity: 200 calls wait, none is turned away.
+  FakeNode ordinary = SurgeNode(100, std::chrono::milliseconds(50), 1, 3);
+  ordinary.RunUntil(12);
+  for (uint32_t threshold : ordinary.thresholds()) CHECK_EQUAL(0u, threshold);
+  // 120 ms at three times the capacity: 200 calls wait, none is refused.
   FakeNodeOptions options;
   options.limit.ceiling = 100;
   options.limit.initial = 100;
@@ -149,7 +153,7 @@
   CHECK(burst.Tally(0, 3, 4).good_share() == 1.0);
 }
 
-TEST(ShedderTest, AnyHistoryKeepsOrderAndEndsInASecond) {
+TEST(ShedderTest, AnyHistoryKeepsLevelOrderAndRecoversInASecond) {
   CHECK(rc::check([] {
     Shedder shedder;
     int64_t now = 0;
@@ -169,11 +173,11 @@
       RC_ASSERT(shedder.Admits(level, at) == (level >= threshold));
       RC_ASSERT(shedder.Admits(kMaxSheddingLevel, at));
     }
-    // Then demand far under the capacity, every slot soon free.
-    for (int calm = 0; calm < 100; ++calm) {
+    // Then demand is far below the capacity and slots are free.
+    for (int idle_step = 0; idle_step < 100; ++idle_step) {
       now += 10;
       const TimePoint at = TimePoint{} + std::chrono::milliseconds(now);
-      shedder.OnArrival(1 + static_cast<uint32_t>(calm) * 5, at);
+      shedder.OnArrival(1 + static_cast<uint32_t>(idle_step) * 5, at);
       shedder.OnQueueDelay(Duration(0), at);
       shedder.OnIdle(at);
     }
@@ -184,9 +188,10 @@
 
 TEST_GROUP(DownstreamThresholdsTest){};
 
-// The caller sees a service refused long after it has recovered: the last
-// answer said "shed everything", so nothing is sent, and no answer corrects it.
-TEST(DownstreamThresholdsTest, OldNewsFadesSoThatNothingLocksIn) {
+// Guards against requests being refused long after a service has recovered: the
+// last answer reported the highest threshold, so nothing is sent and no answer
+// lowers it.
+TEST(DownstreamThresholdsTest, ThresholdWithoutAnswersDecaysToZero) {
   DownstreamThresholds thresholds;
   TimePoint now{};
   for (int answer = 0; answer < 50; ++answer) {
@@ -204,7 +209,7 @@
   CHECK_EQUAL(0u, last);
 }
 
-TEST(DownstreamThresholdsTest, AnswersOfRecoveredServersEndItSooner) {
+TEST(DownstreamThresholdsTest, AnswersOfRecoveredServersLowerThreshold) {
   DownstreamThresholds thresholds;
   const TimePoint now{};
   for (int answer = 0; answer < 10; ++answer) {
@@ -219,125 +224,127 @@
 
 namespace {
 
-// Requests that each make four calls at one server, one after the other, let in
-// where they enter by the server's threshold of 200 ms ago.
+// Simulates requests that each make four sequential calls to one server. They
+// are admitted at their entry by the server's threshold of 200 ms earlier.
 class ChainLoad {
  public:
   explicit ChainLoad(const ShedderOptions& options, size_t slots = 15,
-                     int service_ms = 15, size_t queue = 100'000)
+                     int service_ms = 15, size_t queue_capacity = 100'000)
       : slots_(slots),
         service_ms_(service_ms),
-        queue_(queue),
+        queue_capacity_(queue_capacity),
         shedder_(options) {}
 
-  // Requests that failed as a call of theirs found the queue full.
-  int refused() const { return refused_; }
+  // Number of calls refused because the queue was full.
+  int refused_calls() const { return refused_calls_; }
 
-  // Offers `per_second` requests for `seconds`; returns the mean time of those
-  // that ended in the last half of it, in milliseconds, and their number.
+  // Offers `per_second` requests for `seconds`. Returns the mean latency in
+  // milliseconds and the number of the requests that ended in the second half.
   std::pair<double, int> Run(int per_second, int seconds) {
-    double total_ms = 0;
-    int ended = 0;
+    double total_millis = 0;
+    int completed = 0;
     for (int ms = 0; ms < seconds * 1000; ++ms) {
       const TimePoint now = FromMicros(int64_t{ms} * 1000);
-      if (ms % 100 == 0) told_.push_back(shedder_.Threshold(now));
-      const uint32_t threshold = told_.size() > 2 ? told_[told_.size() - 3] : 0;
-      due_ += per_second / 1000.0;
-      for (; due_ >= 1; due_ -= 1) {
+      if (ms % 100 == 0) reported_.push_back(shedder_.Threshold(now));
+      const uint32_t threshold =
+          reported_.size() > 2 ? reported_[reported_.size() - 3] : 0;
+      arrivals_due_ += per_second / 1000.0;
+      for (; arrivals_due_ >= 1; arrivals_due_ -= 1) {
         const uint32_t level = LevelByCost(
             SheddingLevel(Tier::kBrowse, std::to_string(++requests_)), true);
-        if (level >= threshold) Call(level, ms, kCalls, now);
+        if (level >= threshold) EnqueueCall(level, ms, kCalls, now);
       }
-      for (const Ended& call : Step(now, ms)) {
+      for (const ChainCall& call : FinishAndStartCalls(now, ms)) {
         if (call.calls_left > 1) {
-          Call(call.level, call.began, call.calls_left - 1, now);
+          EnqueueCall(call.level, call.arrived_ms, call.calls_left - 1, now);
         } else if (ms >= seconds * 500) {
-          total_ms += ms - call.began;
-          ++ended;
+          total_millis += ms - call.arrived_ms;
+          ++completed;
         }
       }
     }
-    return {ended == 0 ? 0 : total_ms / ended, ended};
+    return {completed == 0 ? 0 : total_millis / completed, completed};
   }
 
   static constexpr int kCalls = 4;
 
  private:
-  struct Ended {
+  struct ChainCall {
     uint32_t level;
-    int began;
+    int arrived_ms;
     int calls_left;
-    int at;  // waiting: since; running: ends
+    int time_ms;  // waiting: enqueued at; running: ends at
   };
 
-  void Call(uint32_t level, int began, int calls, TimePoint now) {
+  void EnqueueCall(uint32_t level, int arrived_ms, int calls, TimePoint now) {
     shedder_.OnArrival(level, now);
-    if (waiting_.size() >= queue_) {
-      ++refused_;
+    if (waiting_.size() >= queue_capacity_) {
+      ++refused_calls_;
       return;
     }
     waiting_.push_back(
-        {level, began, calls, static_cast<int>(ToMicros(now) / 1000)});
+        {level, arrived_ms, calls, static_cast<int>(ToMicros(now) / 1000)});
   }
 
-  std::vector<Ended> Step(TimePoint now, int ms) {
-    std::vector<Ended> ended;
+  std::vector<ChainCall> FinishAndStartCalls(TimePoint now, int ms) {
+    std::vector<ChainCall> completed;
     for (size_t i = 0; i < running_.size();) {
-      if (running_[i].at > ms) {
+      if (running_[i].time_ms > ms) {
         ++i;
         continue;
       }
-      ended.push_back(running_[i]);
+      completed.push_back(running_[i]);
       running_.erase(running_.begin() + static_cast<ptrdiff_t>(i));
     }
     while (running_.size() < slots_ && !waiting_.empty()) {
-      const std::chrono::milliseconds oldest(ms - waiting_.front().at);
+      const std::chrono::milliseconds oldest(ms - waiting_.front().time_ms);
       shedder_.OnQueueDelay(oldest, now);
       running_.push_back(waiting_.front());
-      running_.back().at = ms + service_ms_;
+      running_.back().time_ms = ms + service_ms_;
       waiting_.pop_front();
     }
     if (running_.size() < slots_) shedder_.OnIdle(now);
-    return ended;
+    return completed;
   }
 
   size_t slots_;
   int service_ms_;
-  size_t queue_;
-  int refused_ = 0;
+  size_t queue_capacity_;
+  int refused_calls_ = 0;
   Shedder shedder_;
-  std::deque<Ended> waiting_;
-  std::vector<Ended> running_;
-  std::vector<uint32_t> told_;
-  double due_ = 0;
+  std::deque<ChainCall> waiting_;
+  std::vector<ChainCall> running_;
+  std::vector<uint32_t> reported_;
+  double arrivals_due_ = 0;
   int requests_ = 0;
 };
 
 }  // namespace
 
-// Browsing at twice what the deepest service can do: each request makes four
-// calls there, so a backlog feeds itself and every request ends late, although
-// the slots are never idle. Steered by the wait, most of the capacity becomes
-// answers within a second; by counts, hardly any of them are in time.
-TEST(ShedderTest, ABacklogOfChainsDoesNotStand) {
+// Guards against a permanent backlog at twice the capacity of the deepest
+// service. Each request makes four calls there, so the backlog sustains itself
+// and every request ends late although the slots are never idle. With a
+// threshold computed from the wait most of the capacity becomes answers within
+// a second; with one computed from counts hardly any answer is in time.
+TEST(ShedderTest, BacklogOfRequestChainsDrains) {
   constexpr int kCapacity = 250;  // requests a second: 15 slots / 15 ms / 4
   ShedderOptions by_wait;
   by_wait.steer_by_wait = true;
-  const auto [millis, ended] = ChainLoad(by_wait).Run(2 * kCapacity, 20);
+  const auto [millis, completed] = ChainLoad(by_wait).Run(2 * kCapacity, 20);
   CHECK(millis < 900);
-  CHECK(ended > 0.85 * kCapacity * 10);
-  const auto [counted_millis, counted_ended] =
+  CHECK(completed > 0.85 * kCapacity * 10);
+  const auto [millis_by_counts, completed_by_counts] =
       ChainLoad(ShedderOptions()).Run(2 * kCapacity, 20);
-  CHECK(counted_millis > 2 * millis);
-  CHECK(counted_ended > 0);
+  CHECK(millis_by_counts > 2 * millis);
+  CHECK(completed_by_counts > 0);
 }
 
-// Seen: browsing refused while the servers that it was refused for stood idle
-// by turns, a tenth to an eighth of the time. The threshold turned callers away
-// at so short a wait that the queue was empty again before a change of it was
-// felt, three hops and a second later, and swung between nothing and all.
-// Proved by the load line: 0 calls waiting in one second, 460 in the next.
-TEST(ShedderTest, SlotsDoNotStandIdleByTurns) {
+// Guards against browsing requests being refused while the servers are idle for
+// a tenth to an eighth of the time. If the threshold rises at too short a wait,
+// the queue is empty again before the change takes effect three hops and a
+// second later, and the threshold oscillates between admitting everything and
+// nothing: 0 calls waiting in one second, 460 in the next.
+TEST(ShedderTest, ThresholdOscillationDoesNotIdleSlots) {
   ShedderOptions options;
   options.steer_by_wait = true;
   for (const auto& [slots, service_ms] :
@@ -345,19 +352,19 @@
     for (const double load : {1.3, 1.7, 2.0}) {
       const int capacity = slots * 1000 / service_ms / ChainLoad::kCalls;
       ChainLoad chain(options, static_cast<size_t>(slots), service_ms);
-      const auto [millis, ended] =
+      const auto [millis, completed] =
           chain.Run(static_cast<int>(load * capacity), 20);
-      CHECK(ended >= 0.95 * capacity * 10);
+      CHECK(completed >= 0.95 * capacity * 10);
       CHECK(millis < 800);
     }
   }
 }
 
-// Callers get 500 for half of what was let in: with 110 slots the 256 places of
-// the queue are 56 ms of work, so the wait never reaches what cuts the lowest
-// group, and calls are turned away in mid-chain. A queue that is measured by
-// time lets the wait speak.
-TEST(ShedderTest, AQueueShorterThanTheWaitRefusesWhatWasLetIn) {
+// Guards against status 500 for half of the admitted requests. With 110 slots
+// the queue's 256 places hold 56 ms of work, so the wait never becomes long
+// enough to shed the lowest group, and calls are refused in the middle of their
+// request. A queue capacity derived from a wait avoids this.
+TEST(ShedderTest, QueueShorterThanTheWaitRefusesAdmittedRequests) {
   constexpr int kSlots = 110;
   constexpr int kServiceMs = 24;
   constexpr int kOffered = 2 * kSlots * 1000 / kServiceMs / 4;
@@ -368,14 +375,14 @@
   const size_t capacity = AdmissionQueue::CapacityForWait(
       256, kSlots, std::chrono::milliseconds(kServiceMs));
   ChainLoad by_time(by_wait, kSlots, kServiceMs, capacity);
-  const auto [millis, ended] = by_time.Run(kOffered, 10);
-  CHECK(by_count.refused() > kOffered);
-  CHECK(by_time.refused() < kOffered / 10);
+  const auto [millis, completed] = by_time.Run(kOffered, 10);
+  CHECK(by_count.refused_calls() > kOffered);
+  CHECK(by_time.refused_calls() < kOffered / 10);
   CHECK(millis < 900);
-  CHECK(ended > 0.85 * 5 * kOffered / 2);
+  CHECK(completed > 0.85 * 5 * kOffered / 2);
 }
 
-TEST(ShedderTest, RequestsThatCostMoreGoFirstWithinTheirTier) {
+TEST(ShedderTest, RequestsWithNestedCallsHaveLowerLevelsInTheirTier) {
   for (uint32_t level = 129; level <= 256; ++level) {
     CHECK(LevelByCost(level, true) <= 192);
     CHECK(LevelByCost(level, false) > 192);
