--- a/src/include/amaranthroute/policy/admission_window.h
+++ b/src/include/amaranthroute/policy/admission_window.h
@@ -1,25 +1,26 @@
 #ifndef AMARANTHROUTE_POLICY_ADMISSION_WINDOW_H_
 #define AMARANTHROUTE_POLICY_ADMISSION_WINDOW_H_
 
-/// How many requests of one class an entry node has under way.
+/// Limits the number of requests of one class that an entry node has in flight.
 ///
-/// Load pattern: requests that make several calls one after the other at a
-/// service that is short of capacity for many seconds. Each waits at every
-/// call, so a wait of 100 ms that is no overload for a single call makes a
-/// request with eight of them late. A threshold that is steered by the wait of
-/// a call needs a standing wait to turn anything away, and swings, as it is
-/// felt only when the requests under way have ended: what is let in is served
-/// late, fails half way, and has used the capacity for nothing.
+/// Load pattern: requests that make several sequential nested calls to a
+/// service that is overloaded for many seconds. A request waits at each of its
+/// calls, so a wait of 100 ms that is acceptable for a single call makes a
+/// request with eight calls late. A threshold controlled by the wait of a call
+/// needs a permanent wait to refuse anything, and it oscillates because it
+/// takes effect only after the requests in flight have ended. Admitted requests
+/// are then served late or fail half way, and the capacity they used is wasted.
 ///
-/// A window clocks itself: a request is let in when another ends. It shrinks
-/// when requests end too late, or fail, *because they waited* (the waits are
-/// measured in the queues and come up with the answers), and grows while they
-/// end in time. A request that is slow at a slow server, or fails at a broken
-/// one, says nothing about how many there should be.
+/// A window is self-clocking: a request is admitted when another one ends. It
+/// shrinks when requests end too late or fail *because they waited* (waits are
+/// measured in the queues and reported on the answers), and grows while
+/// requests end in time. A request that is slow at a slow server, or fails at a
+/// broken one, does not show that too many are in flight.
 ///
-/// Each class has its own window, so one with little time or many calls gives
-/// way first, and what is more important is let in as long as it ends in time:
-/// its calls stand before the others' in every queue.
+/// Each class has its own window, so a class with a short latency target
+/// or many calls is limited first. Classes of higher tiers are admitted as long
+/// as their requests end in time, since their calls precede the others in every
+/// queue.
 
 #include <cstddef>
 #include <random>
@@ -28,33 +29,36 @@
 
 namespace amaranth {
 
-/// Targets and steps of an AdmissionWindow.
+/// Targets and step sizes of an AdmissionWindow.
 struct AdmissionWindowOptions {
-  /// Part of its latency target by which a request should have ended. The rest
-  /// covers the spread of a call chain's time around its mean.
-  double goal = 0.8;
-  /// A request that ended after that is a sign of overload only if it waited
-  /// for at least this part of its target: work that is long by itself is not
-  /// made shorter by letting in less.
-  double least_wait = 0.2;
-  /// What one such request leaves of the window. Each step takes a request's
-  /// whole latency to be felt: in small ones a surge of several times the
-  /// capacity is over before the window has found its size.
-  double shrink = 0.5;
-  /// A request that ends in time adds this, up to the size at which the window
-  /// last shrank: it is back there from a half of it after two round trips.
-  double grow = 0.5;
-  /// ... and this many requests over one window beyond that size.
-  double probe = 0.5;
-  /// Never smaller: some requests must flow to tell of the recovery.
-  double smallest = 1.0;
+  /// Fraction of the latency target after which a request counts as late. The
+  /// rest covers the variance of a call chain's latency.
+  double late_fraction = 0.8;
+  /// Minimum wait, as a fraction of the latency target, for a late or failed
+  /// request to count as overload. Admitting fewer requests does not shorten a
+  /// long service time. Also the minimum fraction of the latency of recent
+  /// requests spent waiting for CanGiveWay().
+  double min_wait_fraction = 0.2;
+  /// Factor on the window for one such request. A step takes effect only after
+  /// the latency of a whole request; with smaller steps a surge of several
+  /// times the capacity is over before the window has converged.
+  double shrink_factor = 0.5;
+  /// Growth for each request that ends in time, up to the limit before the last
+  /// shrink. The window recovers from half of that limit in two round trips.
+  double growth_per_request = 0.5;
+  /// Growth beyond that limit, in requests per full window of requests that end
+  /// in time.
+  double probe_growth = 0.5;
+  /// Lower bound of the window. Some requests must be admitted for a recovery
+  /// to be detected.
+  double min_limit = 1.0;
 };
 
-/// What an entry node learned from a request that has ended.
+/// Result of a request, as measured at its entry node.
 struct EndedRequest {
-  Duration latency{0};  ///< from its arrival here to its end
-  Duration waited{0};   ///< of that, in queues for a slot, its calls' too
-  bool served = false;  ///< false: failed, here or further down
+  Duration latency{0};  ///< from its arrival at the entry node to its end
+  Duration waited{0};   ///< part spent in queues, nested calls included
+  bool served = false;  ///< false: failed here or downstream
 
   friend bool operator==(const EndedRequest& a, const EndedRequest& b) {
     return a.latency == b.latency && a.waited == b.waited &&
@@ -65,46 +69,52 @@
   }
 };
 
-/// The window of one class at one entry node. Unlimited until a request ends
-/// late for waiting.
+/// The window of one class at one entry node. Unlimited until Shrink() is
+/// called, and again once the limit is far above the requests in flight.
 class AdmissionWindow {
  public:
   explicit AdmissionWindow(AdmissionWindowOptions options = {});
 
-  /// Whether one more may be let in. A window of 2.4 lets in a third beside two
-  /// with a chance of 0.4: at 64 entry nodes whole numbers would be coarse.
+  /// Returns whether one more request may be admitted. A fractional place is
+  /// granted at random: with two in flight a window of 2.4 admits a third with
+  /// probability 0.4. With 64 entry nodes whole numbers would be too coarse.
   bool HasRoom(std::mt19937_64& random) const;
-  /// A request was let in.
+  /// Records that a request was admitted.
   void OnBegin();
-  /// It has ended; `target` is its class's latency target (0: none is set, and
-  /// nothing is learned). True if it was late, or failed, for waiting: then the
-  /// window that is to give way is shrunk, this one or a less important one.
+  /// Records the end of an admitted request and grows the window if the request
+  /// was in time. `target` is the latency target of its class; with 0 (not set)
+  /// the window does not change. Returns true if the request was late or failed
+  /// because it waited. The caller must then call Shrink() on this window or on
+  /// one of a lower tier.
   bool OnEnd(const EndedRequest& ended, Duration target);
-  /// It has ended and tells nothing: its caller left, or it never went out.
+  /// Records the end of an admitted request whose result says nothing about the
+  /// load: its caller left, or it was never sent.
   void OnAbandoned();
 
-  /// Lets in fewer, once for all that were under way together: `latency` is
-  /// what the late request took.
+  /// Shrinks the window. `latency` is the latency of the late request; further
+  /// calls are ignored for that long, so that requests in flight together
+  /// shrink the window only once.
   void Shrink(Duration latency, TimePoint now);
 
-  /// Whether letting in fewer of these can help: some are under way, and lately
-  /// a good part of their time was waiting.
+  /// Returns whether shrinking this window can reduce the load: requests are in
+  /// flight, and recent ones spent a considerable part of their latency
+  /// waiting.
   bool CanGiveWay() const;
-  size_t under_way() const { return under_way_; }
-  /// The limit; 0 while there is none.
+  size_t in_flight() const { return in_flight_; }
+  /// Returns the limit; 0 while there is none.
   double limit() const { return limited_ ? limit_ : 0; }
 
  private:
-  void LearnWaitShare(const EndedRequest& ended);
+  void UpdateWaitShare(const EndedRequest& ended);
   bool IsOverload(const EndedRequest& ended, Duration target) const;
-  void Grow(double under_way);
+  void Grow(double in_flight);
 
   AdmissionWindowOptions options_;
-  size_t under_way_ = 0;
-  double wait_share_ = 0;  // of a request's latency, moving average
+  size_t in_flight_ = 0;
+  double wait_share_ = 0;  // of the latency, exponential moving average
   bool limited_ = false;
   double limit_ = 0;
-  double last_size_ = 0;  // the window before it last shrank
+  double limit_before_shrink_ = 0;
   TimePoint next_shrink_{};
 };
 
--- a/src/libpolicy/admission_window.cc
+++ b/src/libpolicy/admission_window.cc
@@ -5,10 +5,10 @@
 namespace amaranth {
 namespace {
 
-// A limit this many times what is under way limits nothing.
-constexpr double kSlack = 2.0;
-// Weight of the newest request in the share that requests waited: the last ten
-// or so count.
+// A limit over this many times the requests in flight is removed.
+constexpr double kUnusedLimitFactor = 2.0;
+// Weight of a new request in the wait share; the average covers about the last
+// ten requests.
 constexpr double kShareWeight = 0.1;
 
 }  // namespace
@@ -18,36 +18,36 @@
 
 bool AdmissionWindow::HasRoom(std::mt19937_64& random) const {
   if (!limited_) return true;
-  const double room = limit_ - static_cast<double>(under_way_);
+  const double room = limit_ - static_cast<double>(in_flight_);
   if (room >= 1) return true;
   if (room <= 0) return false;
   return std::bernoulli_distribution(room)(random);
 }
 
-void AdmissionWindow::OnBegin() { ++under_way_; }
+void AdmissionWindow::OnBegin() { ++in_flight_; }
 
 void AdmissionWindow::OnAbandoned() {
-  if (under_way_ > 0) --under_way_;
+  if (in_flight_ > 0) --in_flight_;
 }
 
 bool AdmissionWindow::OnEnd(const EndedRequest& ended, Duration target) {
-  const double with_it = static_cast<double>(under_way_);
+  const double in_flight_before_end = static_cast<double>(in_flight_);
   OnAbandoned();
   if (target <= Duration::zero()) return false;
-  LearnWaitShare(ended);
+  UpdateWaitShare(ended);
   if (IsOverload(ended, target)) return true;
-  if (ended.served) Grow(with_it);
+  if (ended.served) Grow(in_flight_before_end);
   return false;
 }
 
 bool AdmissionWindow::CanGiveWay() const {
-  const bool above_least =
-      static_cast<double>(under_way_) > options_.smallest &&
-      (!limited_ || limit_ > options_.smallest);
-  return above_least && wait_share_ >= options_.least_wait;
+  const bool above_minimum =
+      static_cast<double>(in_flight_) > options_.min_limit &&
+      (!limited_ || limit_ > options_.min_limit);
+  return above_minimum && wait_share_ >= options_.min_wait_fraction;
 }
 
-void AdmissionWindow::LearnWaitShare(const EndedRequest& ended) {
+void AdmissionWindow::UpdateWaitShare(const EndedRequest& ended) {
   if (ended.latency <= Duration::zero()) return;
   const double share = static_cast<double>(ended.waited.count()) /
                        static_cast<double>(ended.latency.count());
@@ -56,32 +56,34 @@
 
 bool AdmissionWindow::IsOverload(const EndedRequest& ended,
                                  Duration target) const {
-  const double whole = static_cast<double>(target.count());
-  const bool waited =
-      static_cast<double>(ended.waited.count()) >= options_.least_wait * whole;
+  const double target_micros = static_cast<double>(target.count());
+  const bool waited = static_cast<double>(ended.waited.count()) >=
+                      options_.min_wait_fraction * target_micros;
   if (!waited) return false;
-  return !ended.served ||
-         static_cast<double>(ended.latency.count()) > options_.goal * whole;
+  return !ended.served || static_cast<double>(ended.latency.count()) >
+                              options_.late_fraction * target_micros;
 }
 
 void AdmissionWindow::Shrink(Duration latency, TimePoint now) {
   if (now < next_shrink_) return;
-  const double under_way = static_cast<double>(under_way_ + 1);
-  const double size = limited_ ? std::min(limit_, under_way) : under_way;
-  last_size_ = size;
-  limit_ = std::max(options_.smallest, size * options_.shrink);
+  const double in_flight = static_cast<double>(in_flight_ + 1);
+  const double old_limit = limited_ ? std::min(limit_, in_flight) : in_flight;
+  limit_before_shrink_ = old_limit;
+  limit_ = std::max(options_.min_limit, old_limit * options_.shrink_factor);
   limited_ = true;
   next_shrink_ = now + latency;
 }
 
-void AdmissionWindow::Grow(double under_way) {
+void AdmissionWindow::Grow(double in_flight) {
   if (!limited_) return;
-  if (limit_ > kSlack * under_way && limit_ > last_size_) {
+  if (limit_ > kUnusedLimitFactor * in_flight &&
+      limit_ > limit_before_shrink_) {
     limited_ = false;
     return;
   }
-  const double step =
-      limit_ < last_size_ ? options_.grow : options_.probe / limit_;
+  const double step = limit_ < limit_before_shrink_
+                          ? options_.growth_per_request
+                          : options_.probe_growth / limit_;
   limit_ += step;
 }
 
--- a/src/libpolicy/admission_window_test.cc
+++ b/src/libpolicy/admission_window_test.cc
@@ -14,32 +14,34 @@
 
 TimePoint At(int ms) { return TimePoint(milliseconds(ms)); }
 
-void Finish(AdmissionWindow& window, const EndedRequest& ended, int at_ms) {
+void EndRequest(AdmissionWindow& window, const EndedRequest& ended, int at_ms) {
   if (window.OnEnd(ended, kTarget)) window.Shrink(ended.latency, At(at_ms));
 }
 
-// Entry nodes with a window each, and one service whose requests make `calls`
-// calls there one after the other. Virtual time in steps of a millisecond.
+// Simulates entry nodes with a window each, and one service at which each
+// request makes kCalls sequential calls, in virtual time with steps of 1 ms.
 class ChainFleet {
  public:
   struct Result {
-    int let_in = 0;
+    int admitted = 0;
     int in_time = 0;
   };
 
-  ChainFleet(int nodes, bool windows) : windows_on_(windows) {
+  ChainFleet(int nodes, bool use_windows) : use_windows_(use_windows) {
     windows_.resize(static_cast<size_t>(nodes));
   }
 
-  // `per_second` requests from 0 on; counts those that came in [from, to).
+  // Offers `per_second` requests from 0 to end_ms; counts those that arrived in
+  // [from_ms, to_ms).
   Result Run(double per_second, int from_ms, int to_ms, int end_ms) {
     Result result;
     for (int ms = 0; ms < end_ms; ++ms) {
-      due_ += per_second / 1000;
-      for (; due_ >= 1; due_ -= 1) Arrive(ms, ms >= from_ms && ms < to_ms);
-      Step(ms);
+      pending_ += per_second / 1000;
+      for (; pending_ >= 1; pending_ -= 1)
+        Arrive(ms, ms >= from_ms && ms < to_ms);
+      AdvanceRequests(ms);
     }
-    result.let_in = let_in_;
+    result.admitted = admitted_;
     result.in_time = in_time_;
     return result;
   }
@@ -47,81 +49,83 @@
   static constexpr int kCalls = 4;
   static constexpr size_t kSlots = 45;
   static constexpr int kServiceMs = 40;
-  static constexpr int kOwnMs = 100;  // before the first call
+  static constexpr int kMillisBeforeFirstCall = 100;
   static constexpr double kCapacity =
       1000.0 * kSlots / kServiceMs / kCalls;  // requests a second
 
  private:
   struct Request {
     size_t node;
-    int began;
+    int arrived_ms;
     int calls_left;
-    int at;  // waiting: since; running: until
-    int waited;
-    bool counted;
+    int time_ms;  // waiting: enqueued at; running: ends at
+    int waited_ms;
+    bool in_sample;
   };
 
-  void Arrive(int ms, bool counted) {
+  void Arrive(int ms, bool in_sample) {
     const size_t node = next_node_++ % windows_.size();
     AdmissionWindow& window = windows_[node];
-    if (windows_on_ && !window.HasRoom(random_)) return;
+    if (use_windows_ && !window.HasRoom(random_)) return;
     window.OnBegin();
-    if (counted) ++let_in_;
-    thinking_.push_back({node, ms, kCalls, ms + kOwnMs, 0, counted});
+    if (in_sample) ++admitted_;
+    before_first_call_.push_back(
+        {node, ms, kCalls, ms + kMillisBeforeFirstCall, 0, in_sample});
   }
 
-  void Step(int ms) {
-    while (!thinking_.empty() && thinking_.front().at <= ms) {
-      waiting_.push_back(thinking_.front());
-      waiting_.back().at = ms;
-      thinking_.pop_front();
+  void AdvanceRequests(int ms) {
+    while (!before_first_call_.empty() &&
+           before_first_call_.front().time_ms <= ms) {
+      waiting_.push_back(before_first_call_.front());
+      waiting_.back().time_ms = ms;
+      before_first_call_.pop_front();
     }
-    std::vector<Request> still;
+    std::vector<Request> unfinished;
     for (Request& request : running_) {
-      if (request.at > ms) {
-        still.push_back(request);
+      if (request.time_ms > ms) {
+        unfinished.push_back(request);
       } else if (--request.calls_left > 0) {
-        request.at = ms;
+        request.time_ms = ms;
         waiting_.push_back(request);
       } else {
-        End(request, ms);
+        FinishRequest(request, ms);
       }
     }
-    running_ = still;
+    running_ = unfinished;
     while (running_.size() < kSlots && !waiting_.empty()) {
       Request request = waiting_.front();
       waiting_.pop_front();
-      request.waited += ms - request.at;
-      request.at = ms + kServiceMs;
+      request.waited_ms += ms - request.time_ms;
+      request.time_ms = ms + kServiceMs;
       running_.push_back(request);
     }
   }
 
-  void End(const Request& request, int ms) {
-    const EndedRequest ended{milliseconds(ms - request.began),
-                             milliseconds(request.waited), true};
-    Finish(windows_[request.node], ended, ms);
-    if (request.counted && ended.latency <= kTarget) ++in_time_;
+  void FinishRequest(const Request& request, int ms) {
+    const EndedRequest ended{milliseconds(ms - request.arrived_ms),
+                             milliseconds(request.waited_ms), true};
+    EndRequest(windows_[request.node], ended, ms);
+    if (request.in_sample && ended.latency <= kTarget) ++in_time_;
   }
 
-  bool windows_on_;
+  bool use_windows_;
   std::vector<AdmissionWindow> windows_;
   std::mt19937_64 random_{7};
-  std::deque<Request> thinking_;
+  std::deque<Request> before_first_call_;
   std::deque<Request> waiting_;
   std::vector<Request> running_;
   size_t next_node_ = 0;
-  double due_ = 0;
-  int let_in_ = 0;
+  double pending_ = 0;
+  int admitted_ = 0;
   int in_time_ = 0;
 };
 
-EndedRequest Ended(int latency_ms, int waited_ms, bool served = true) {
+EndedRequest MakeResult(int latency_ms, int waited_ms, bool served = true) {
   return {milliseconds(latency_ms), milliseconds(waited_ms), served};
 }
 
-// A window with `count` under way.
-AdmissionWindow Busy(int count) {
+// Returns a window with `count` requests in flight.
+AdmissionWindow WindowWithInFlight(int count) {
   AdmissionWindow window;
   for (int i = 0; i < count; ++i) window.OnBegin();
   return window;
@@ -131,39 +135,39 @@
 
 TEST_GROUP(AdmissionWindowTest) { std::mt19937_64 random_{1}; };
 
-// Callers see answers after seconds, hardly one of them in time: twice what the
-// deepest service can do is let in, each request waits there four times, and
-// the queue only grows. With windows nine in ten of what is let in ends in
-// time, and that is nine tenths of what the service can do, at few large entry
-// nodes as at many small ones.
-TEST(AdmissionWindowTest, WhatIsLetInEndsInTimeAtTwiceTheCapacity) {
+// Guards against answers that are nearly all late: at twice the capacity of the
+// deepest service each request waits there four times and the queue grows
+// without bound. With windows nine in ten admitted requests end in time and use
+// nine tenths of the capacity, with a few large entry nodes as with many small
+// ones.
+TEST(AdmissionWindowTest, AdmittedRequestsEndInTimeAtTwiceTheCapacity) {
   for (const int nodes : {3, 13, 40}) {
     ChainFleet fleet(nodes, true);
     const ChainFleet::Result with =
         fleet.Run(2 * ChainFleet::kCapacity, 5000, 15000, 18000);
-    CHECK(with.in_time >= 0.9 * with.let_in);
+    CHECK(with.in_time >= 0.9 * with.admitted);
     CHECK(with.in_time >= 0.9 * 10 * ChainFleet::kCapacity);
   }
-  ChainFleet plain(13, false);
+  ChainFleet unlimited(13, false);
   const ChainFleet::Result without =
-      plain.Run(2 * ChainFleet::kCapacity, 5000, 15000, 18000);
-  CHECK(without.in_time < 0.1 * without.let_in);
+      unlimited.Run(2 * ChainFleet::kCapacity, 5000, 15000, 18000);
+  CHECK(without.in_time < 0.1 * without.admitted);
 }
 
-// Seen: half of the browsing that was let in at four times the capacity ended
-// late. The window went down by a fifth at a time and a request's latency
-// apart, so it needed as long as the surge lasted to find its size.
-TEST(AdmissionWindowTest, WhatIsLetInEndsInTimeAtFourTimesTheCapacity) {
+// Guards against half of the admitted requests ending late at four times the
+// capacity. A window that shrinks by only a fifth per step, one request latency
+// apart, needs the whole surge to converge.
+TEST(AdmissionWindowTest, AdmittedRequestsEndInTimeAtFourTimesTheCapacity) {
   for (const int nodes : {3, 13, 40}) {
     ChainFleet fleet(nodes, true);
     const ChainFleet::Result result =
         fleet.Run(4 * ChainFleet::kCapacity, 5000, 15000, 18000);
-    CHECK(result.in_time >= 0.9 * result.let_in);
+    CHECK(result.in_time >= 0.9 * result.admitted);
     CHECK(result.in_time >= 0.9 * 10 * ChainFleet::kCapacity);
   }
 }
 
-TEST(AdmissionWindowTest, NothingIsTurnedAwayBelowTheCapacity) {
+TEST(AdmissionWindowTest, NothingIsRefusedBelowTheCapacity) {
   ChainFleet fleet(13, true);
   const double rate = 0.9 * ChainFleet::kCapacity;
   const ChainFleet::Result result = fleet.Run(rate, 1000, 9000, 11000);
@@ -171,55 +175,54 @@
 }
 
 TEST(AdmissionWindowTest, WithoutALateRequestThereIsNoLimit) {
-  AdmissionWindow window = Busy(500);
-  Finish(window, Ended(300, 200), 0);
+  AdmissionWindow window = WindowWithInFlight(500);
+  EndRequest(window, MakeResult(300, 200), 0);
   CHECK(window.HasRoom(random_));
   DOUBLES_EQUAL(0, window.limit(), 0);
 }
 
-TEST(AdmissionWindowTest,
-     OneLateForWaitingShrinksItOnceForAllThatWereUnderWay) {
-  AdmissionWindow window = Busy(10);
-  Finish(window, Ended(1200, 600), 2000);
+TEST(AdmissionWindowTest, LateRequestsInFlightTogetherShrinkTheWindowOnce) {
+  AdmissionWindow window = WindowWithInFlight(10);
+  EndRequest(window, MakeResult(1200, 600), 2000);
   DOUBLES_EQUAL(5, window.limit(), 0.01);
-  Finish(window, Ended(1300, 700), 2010);
+  EndRequest(window, MakeResult(1300, 700), 2010);
   DOUBLES_EQUAL(5, window.limit(), 0.01);
   CHECK_FALSE(window.HasRoom(random_));
 }
 
 // A server at a twelfth of its speed makes every request late, whatever the
-// number under way; callers would be turned away for nothing.
-TEST(AdmissionWindowTest, WorkThatIsSlowByItselfDoesNotShrinkIt) {
-  AdmissionWindow window = Busy(10);
-  Finish(window, Ended(3000, 100), 2000);
-  Finish(window, Ended(50, 0, false), 2000);
+// number in flight; refusing requests would not help.
+TEST(AdmissionWindowTest, LongServiceTimeDoesNotShrinkTheWindow) {
+  AdmissionWindow window = WindowWithInFlight(10);
+  EndRequest(window, MakeResult(3000, 100), 2000);
+  EndRequest(window, MakeResult(50, 0, false), 2000);
   CHECK(window.HasRoom(random_));
 }
 
-TEST(AdmissionWindowTest, AFailureAfterALongWaitShrinksIt) {
-  AdmissionWindow window = Busy(10);
-  Finish(window, Ended(700, 400, false), 2000);
+TEST(AdmissionWindowTest, FailureAfterALongWaitShrinksTheWindow) {
+  AdmissionWindow window = WindowWithInFlight(10);
+  EndRequest(window, MakeResult(700, 400, false), 2000);
   CHECK(window.limit() > 0);
 }
 
-// The limit goes when the load that brought it has gone: callers must not be
-// turned away by the memory of a burst.
-TEST(AdmissionWindowTest, TheLimitEndsWithTheLoad) {
-  AdmissionWindow window = Busy(10);
-  Finish(window, Ended(1200, 600), 0);
-  for (int i = 0; i < 9; ++i) Finish(window, Ended(300, 0), 2000);
+// The limit is removed once the overload has ended: requests must not be
+// refused because of a past burst.
+TEST(AdmissionWindowTest, LimitIsRemovedAfterTheOverload) {
+  AdmissionWindow window = WindowWithInFlight(10);
+  EndRequest(window, MakeResult(1200, 600), 0);
+  for (int i = 0; i < 9; ++i) EndRequest(window, MakeResult(300, 0), 2000);
   for (int i = 0; i < 12; ++i) {
     window.OnBegin();
-    Finish(window, Ended(300, 0), 2000 + i);
+    EndRequest(window, MakeResult(300, 0), 2000 + i);
   }
   DOUBLES_EQUAL(0, window.limit(), 0);
 }
 
-TEST(AdmissionWindowTest, SomeAlwaysFlow) {
+TEST(AdmissionWindowTest, WindowNeverRefusesEverything) {
   AdmissionWindow window;
   for (int i = 0; i < 50; ++i) {
     window.OnBegin();
-    Finish(window, Ended(2000, 1900), i * 5000);
+    EndRequest(window, MakeResult(2000, 1900), i * 5000);
   }
   CHECK(window.HasRoom(random_));
 }
