--- a/src/libpolicy/admission_window_test.cc
+++ b/src/libpolicy/admission_window_test.cc
@@ -36,9 +36,8 @@
   Result Run(double per_second, int from_ms, int to_ms, int end_ms) {
     Result result;
     for (int ms = 0; ms < end_ms; ++ms) {
-      pending_ += per_second / 1000;
-      for (; pending_ >= 1; pending_ -= 1)
-        Arrive(ms, ms >= from_ms && ms < to_ms);
+      due_ += per_second / 1000;
+      for (; due_ >= 1; due_ -= 1) Arrive(ms, ms >= from_ms && ms < to_ms);
       AdvanceRequests(ms);
     }
     result.admitted = admitted_;
@@ -115,7 +114,7 @@
   std::deque<Request> waiting_;
   std::vector<Request> running_;
   size_t next_node_ = 0;
-  double pending_ = 0;
+  double due_ = 0;  // arrivals not generated yet
   int admitted_ = 0;
   int in_time_ = 0;
 };
--- a/src/libpolicy/concurrency_limit.cc
+++ b/src/libpolicy/concurrency_limit.cc
@@ -6,40 +6,45 @@
 namespace amaranth {
 namespace {
 
-// In use: the calls in flight came this near to the limit, so the limit, and
-// not a lack of demand, is what bounds them.
-constexpr double kInUse = 0.7;
-// Under this many baselines there is no queue in the server: raise quickly.
-constexpr double kNoQueue = 1.15;
-// A cut that brought the latency down to this is enough: less than a slot in
-// four waits in the server.
-constexpr double kAtKnee = 1.3;
-// Between that and the tolerance: by this part, at least by one slot.
-constexpr double kSlowRaise = 0.02;
-// Part of the latency that congestion would have taken off which proves it.
-constexpr double kProof = 0.5;
-// A trial that did not lower the calls in flight by this part proves nothing.
-constexpr double kLeastFall = 0.05;
-// Part of the limit that long work may hold when a trial starts.
-constexpr double kMostLongInTrial = 0.25;
-// Baseline's step towards a lower, and towards a higher mean of a calm window.
-// Unequal, so that it stays near the lower edge of the noise and a queue that
-// grows slowly is not learned as normal at once.
+// The limit is in use if the mean calls in flight reach this fraction of it;
+// below, the demand and not the limit bounds them.
+constexpr double kInUseFraction = 0.7;
+// Latency, in baselines, up to which the server has no queue and the limit
+// increases by ConcurrencyLimitOptions::increase.
+constexpr double kNoQueueFactor = 1.15;
+// Latency, in baselines, at which no further cut is made: fewer than one call
+// in four waits inside the server.
+constexpr double kAtKneeFactor = 1.3;
+// Increase of the limit, at least one slot, while the latency is between
+// kNoQueueFactor and the tolerance, or the limit has reached the last knee.
+constexpr double kSlowIncrease = 0.02;
+// Fraction of the gain predicted by congestion that a trial must reach.
+constexpr double kRequiredGain = 0.5;
+// A trial that lowered the calls in flight by less than this fraction is
+// inconclusive.
+constexpr double kMinFall = 0.05;
+// Maximum fraction of the limit held by long work when a trial starts.
+constexpr double kMaxLongInTrial = 0.25;
+// Weight of a window without a queue in the baseline if its mean is lower, or
+// higher, than the baseline. The weights differ so that the baseline stays near
+// the lower edge of the noise and adapts to a slowly growing queue only slowly.
 constexpr double kBaselineDown = 0.2;
 constexpr double kBaselineUp = 0.02;
-// Windows without a queue past the last knee that say that it has moved.
+// Consecutive windows without a queue at or above the last knee after which the
+// knee is considered to have moved.
 constexpr int kCalmWindows = 5;
-// Mean latencies until the calls from before a cut have left the window.
-// (at 2, an eighth of them remain, the slowest ones, and hide the cut's gain).
+// Time, in mean latencies, during which samples are ignored after a cut, until
+// the calls from before it have ended. After 2 an eighth of them, the slowest
+// ones, remain and hide the gain of the cut.
 constexpr double kSettleLatencies = 4.0;
-constexpr Duration kLongestSettle = std::chrono::seconds(2);
-// A baseline that crept up to this many times the last one known to be free of
-// congestion has to be tried.
-constexpr double kDoubt = 2.0;
-// A doubt alone is worth a trial only if a window fills this quickly: with 10
-// slots and 200 ms of service a trial takes 5 s, and costs more than the few
+constexpr Duration kMaxSettleTime = std::chrono::seconds(2);
+// A baseline over this many times the last one known to be free of congestion
+// is rechecked.
+constexpr double kMaxBaselineDrift = 2.0;
+// A recheck starts only if the window filled within this time. With 10 slots
+// and a service time of 200 ms a trial takes 5 s and costs more than the few
 // calls that could be waiting in such a server.
-constexpr Duration kQuickWindow = std::chrono::seconds(1);
+constexpr Duration kMaxRecheckWindow = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -57,7 +62,7 @@
   ++window_.samples;
   window_.latency += micros;
   window_.in_flight += in_flight;
-  if (in_trial_) evidence_ += EvidenceOfGain(micros);
+  if (in_trial_) gain_log_odds_ += GainLogLikelihoodRatio(micros);
   if (WindowIsFull(now)) CloseWindow(now);
 }
 
@@ -71,8 +76,9 @@
 }
 
 void ConcurrencyLimit::SetAdaptive(bool adaptive) {
-  // Set with each announcement of a server: twice a second it would throw away
-  // the window, and leave the limit of a trial cut with nobody to judge it.
+  // The mode is set again with each announcement of a server, twice a second.
+  // Resetting the state each time would discard every window and leave the cut
+  // of a trial in place without an evaluation.
   if (adaptive == options_.adaptive) return;
   options_.adaptive = adaptive;
   if (in_trial_) SetLimit(limit_before_trial_);
@@ -90,21 +96,22 @@
   return Duration(static_cast<int64_t>(baseline_));
 }
 
-double ConcurrencyLimit::EvidenceOfGain(double micros) const {
-  const double vain = before_trial_.latency;
-  const double cured = vain * limit_ / before_trial_.in_flight;
-  return std::log(vain / cured) + micros * (1 / vain - 1 / cured);
+double ConcurrencyLimit::GainLogLikelihoodRatio(double micros) const {
+  const double without_gain = before_trial_.latency;
+  const double with_gain = without_gain * limit_ / before_trial_.in_flight;
+  return std::log(without_gain / with_gain) +
+         micros * (1 / without_gain - 1 / with_gain);
 }
 
-bool ConcurrencyLimit::TrialIsVain() const {
+bool ConcurrencyLimit::TrialIsFutile() const {
   return in_trial_ && window_.samples >= options_.min_trial_samples &&
-         evidence_ <= -std::log(options_.vain_odds);
+         gain_log_odds_ <= -std::log(options_.no_gain_odds);
 }
 
 bool ConcurrencyLimit::WindowIsFull(TimePoint now) const {
-  if (TrialIsVain()) return true;
-  // A verdict on a trial is worth twice the samples: wrong ones make the limit
-  // wander by a quarter.
+  if (TrialIsFutile()) return true;
+  // The evaluation of a trial uses twice the samples, because wrong decisions
+  // make the limit vary by a quarter.
   const int windows = in_trial_ ? 2 : 1;
   const Duration age = now - window_.start;
   if (window_.samples >= options_.window_samples * windows) {
@@ -115,97 +122,102 @@
 }
 
 void ConcurrencyLimit::CloseWindow(TimePoint now) {
-  const Level level{window_.latency / window_.samples,
-                    window_.in_flight / window_.samples};
-  const bool quick = now - window_.start <= kQuickWindow;
+  const WindowMeans means{window_.latency / window_.samples,
+                          window_.in_flight / window_.samples};
+  const bool short_window = now - window_.start <= kMaxRecheckWindow;
   window_ = Window{};
   if (in_trial_) {
-    JudgeTrial(level, now);
+    EvaluateTrial(means, now);
     return;
   }
-  const bool in_use = level.in_flight >= kInUse * limit_;
+  const bool in_use = means.in_flight >= kInUseFraction * limit_;
   if (baseline_ == 0) {
     if (settle_until_ == TimePoint{}) {
-      // The calls that end first are the short ones: wait for the others.
-      Settle(level, now);
+      // The calls that end first are the short ones; wait for the others.
+      StartSettling(means, now);
       return;
     }
-    baseline_ = trusted_ = level.latency;
-    // Under load from the first call on, the baseline may hold a queue.
-    next_probe_ = in_use ? now + options_.recheck_period : kNever;
+    baseline_ = uncongested_baseline_ = means.latency;
+    // Under load from the first call on, the baseline may include a queue.
+    next_recheck_ = in_use ? now + options_.recheck_period : kNever;
   }
-  if (next_probe_ == kNever && baseline_ > kDoubt * trusted_) {
-    next_probe_ = now;
+  if (next_recheck_ == kNever &&
+      baseline_ > kMaxBaselineDrift * uncongested_baseline_) {
+    next_recheck_ = now;
   }
-  const bool congested = level.latency > options_.tolerance * baseline_;
+  const bool congested = means.latency > options_.tolerance * baseline_;
   const bool confirmed = congested && was_congested_;
   was_congested_ = congested;
-  const bool doubtful = now >= next_probe_ && quick;
-  const bool few_long = long_in_flight_ <= kMostLongInTrial * limit_;
-  if (in_use && few_long && (confirmed || doubtful)) {
-    probing_ = doubtful;
-    if (doubtful) next_probe_ = now + options_.recheck_period;
+  const bool recheck_due = now >= next_recheck_ && short_window;
+  const bool few_long = long_in_flight_ <= kMaxLongInTrial * limit_;
+  if (in_use && few_long && (confirmed || recheck_due)) {
+    is_recheck_ = recheck_due;
+    if (recheck_due) next_recheck_ = now + options_.recheck_period;
     trial_cuts_ = 0;
-    StartTrial(confirmed ? MeanOf(last_, level) : level, now);
+    StartTrial(confirmed ? AverageOf(last_means_, means) : means, now);
     return;
   }
-  last_ = level;
+  last_means_ = means;
   if (congested) return;
-  const bool no_queue = level.latency <= kNoQueue * baseline_;
+  const bool no_queue = means.latency <= kNoQueueFactor * baseline_;
   if (no_queue) {
-    const double step = level.latency < baseline_ ? kBaselineDown : kBaselineUp;
-    baseline_ += step * (level.latency - baseline_);
-    trusted_ = std::min(trusted_, baseline_);
+    const double step = means.latency < baseline_ ? kBaselineDown : kBaselineUp;
+    baseline_ += step * (means.latency - baseline_);
+    uncongested_baseline_ = std::min(uncongested_baseline_, baseline_);
   }
   if (!in_use) return;
-  // Past the last knee the limit feels its way, so that it spends most of its
-  // time near the knee; a long calm says that the knee has moved.
+  // At or above the last knee the limit increases slowly, so that it stays near
+  // the knee most of the time. kCalmWindows windows without a queue show that
+  // the knee has moved.
   const bool past_knee = knee_ > 0 && limit_ >= knee_;
   calm_windows_ = past_knee && no_queue ? calm_windows_ + 1 : 0;
   if (calm_windows_ >= kCalmWindows) knee_ = 0;
-  const double slow = std::max(1.0, kSlowRaise * limit_);
-  const double fast = std::max(1.0, (options_.raise - 1) * limit_);
-  SetLimit(limit_ + (no_queue && !past_knee ? fast : slow));
+  const double slow_step = std::max(1.0, kSlowIncrease * limit_);
+  const double fast_step = std::max(1.0, (options_.increase - 1) * limit_);
+  SetLimit(limit_ + (no_queue && !past_knee ? fast_step : slow_step));
 }
 
-ConcurrencyLimit::Level ConcurrencyLimit::MeanOf(const Level& a,
-                                                 const Level& b) {
-  return Level{(a.latency + b.latency) / 2, (a.in_flight + b.in_flight) / 2};
+ConcurrencyLimit::WindowMeans ConcurrencyLimit::AverageOf(
+    const WindowMeans& a, const WindowMeans& b) {
+  return WindowMeans{(a.latency + b.latency) / 2,
+                     (a.in_flight + b.in_flight) / 2};
 }
 
-void ConcurrencyLimit::StartTrial(const Level& level, TimePoint now) {
+void ConcurrencyLimit::StartTrial(const WindowMeans& means, TimePoint now) {
   const double before = limit_;
-  SetLimit(std::min(limit_, level.in_flight) * options_.cut);
+  SetLimit(std::min(limit_, means.in_flight) * options_.trial_cut);
   if (static_cast<int>(limit_) == static_cast<int>(before)) {
-    // At the floor: what is left of the latency is no congestion.
+    // At the floor the remaining latency is not caused by congestion.
     in_trial_ = false;
-    baseline_ = trusted_ = level.latency;
-    next_probe_ = kNever;
+    baseline_ = uncongested_baseline_ = means.latency;
+    next_recheck_ = kNever;
     return;
   }
   in_trial_ = true;
-  evidence_ = 0;
+  gain_log_odds_ = 0;
   was_congested_ = false;
   ++trial_cuts_;
-  before_trial_ = level;
+  before_trial_ = means;
   limit_before_trial_ = before;
-  Settle(level, now);
+  StartSettling(means, now);
 }
 
-void ConcurrencyLimit::Settle(const Level& level, TimePoint now) {
-  const Duration settle(static_cast<int64_t>(kSettleLatencies * level.latency));
-  settle_until_ = now + std::min(settle, kLongestSettle);
+void ConcurrencyLimit::StartSettling(const WindowMeans& means, TimePoint now) {
+  const Duration settle_time(
+      static_cast<int64_t>(kSettleLatencies * means.latency));
+  settle_until_ = now + std::min(settle_time, kMaxSettleTime);
 }
 
-void ConcurrencyLimit::JudgeTrial(const Level& level, TimePoint now) {
-  const double fall = 1 - level.in_flight / before_trial_.in_flight;
-  const double gain = 1 - level.latency / before_trial_.latency;
-  if (fall >= kLeastFall && gain >= kProof * fall) {
-    const bool at_knee = !probing_ && level.latency <= kAtKnee * baseline_;
-    baseline_ = std::min(baseline_, level.latency);
-    trusted_ = std::min(trusted_, baseline_);
+void ConcurrencyLimit::EvaluateTrial(const WindowMeans& means, TimePoint now) {
+  const double fall = 1 - means.in_flight / before_trial_.in_flight;
+  const double gain = 1 - means.latency / before_trial_.latency;
+  if (fall >= kMinFall && gain >= kRequiredGain * fall) {
+    const bool at_knee =
+        !is_recheck_ && means.latency <= kAtKneeFactor * baseline_;
+    baseline_ = std::min(baseline_, means.latency);
+    uncongested_baseline_ = std::min(uncongested_baseline_, baseline_);
     if (!at_knee) {
-      StartTrial(level, now);
+      StartTrial(means, now);
       return;
     }
     in_trial_ = false;
@@ -213,18 +225,18 @@
     return;
   }
   in_trial_ = false;
-  if (fall >= kLeastFall) {
-    // A verdict that raised the baseline is checked once more: a wrong one
-    // would let a queue in the server stay for good.
-    // Nothing changed, so the samples from before count as well: a trial that
-    // ended early has few, and those that ended it are the slow ones.
+  if (fall >= kMinFall) {
+    // A raised baseline is rechecked, because a wrong one would keep a queue in
+    // the server forever. The cut had no effect, so the baseline is taken from
+    // the samples before the trial: a trial that ended early has only a few
+    // samples, biased towards slow ones.
     const bool raised = before_trial_.latency > options_.tolerance * baseline_;
     baseline_ = before_trial_.latency;
     if (raised) {
-      next_probe_ = now + options_.recheck_period;
-    } else if (probing_) {
-      next_probe_ = kNever;
-      trusted_ = baseline_;
+      next_recheck_ = now + options_.recheck_period;
+    } else if (is_recheck_) {
+      next_recheck_ = kNever;
+      uncongested_baseline_ = baseline_;
     }
   }
   SetLimit(limit_before_trial_);
--- a/src/libpolicy/concurrency_limit_test.cc
+++ b/src/libpolicy/concurrency_limit_test.cc
@@ -15,7 +15,7 @@
 using pvt::FakeNode;
 using pvt::FakeNodeOptions;
 
-FakeLoad Steady(double per_second) {
+FakeLoad SteadyLoad(double per_second) {
   return {"caller", Tier::kStandard,
           [per_second](double) { return per_second; }};
 }
@@ -36,72 +36,73 @@
   options.limit.ceiling = 100;
   options.limit.initial = 100;
   options.knee = 100;
-  FakeNode node(options, {Steady(9000)}, 1);  // of 10000
+  FakeNode node(options, {SteadyLoad(9000)}, 1);  // capacity 10000
   node.RunUntil(25);
   CHECK(MeanLimit(node, 1, 24) >= 95);
   CHECK(node.Tally(0, 1, 24).good_share() >= 0.995);
 }
 
-// Callers see five times the usual latency. The server announced 100 slots and
-// has power for 20 calls at once; the others wait inside it, out of reach.
-TEST(ConcurrencyLimitTest, ServerThatAnnouncesTooManySlotsIsHeldAtItsKnee) {
+// Guards against five times the normal latency: the server announced 100 slots
+// but can run only 20 calls at full speed, and the others queue inside it.
+TEST(ConcurrencyLimitTest, ServerThatAnnouncesTooManySlotsIsLimitedToItsKnee) {
   FakeNodeOptions options;
   options.limit.ceiling = 100;
   options.limit.initial = 100;
   options.knee = 20;
-  FakeNode node(options, {Steady(4000)}, 1);  // of 2000
+  FakeNode node(options, {SteadyLoad(4000)}, 1);  // capacity 2000
   node.RunUntil(21);
   CHECK(MeanLimit(node, 5, 20) <= 32);
   CHECK(MeanLimit(node, 5, 20) >= 18);
   CHECK(node.Tally(0, 5, 20).good >= 0.9 * 2000 * 15);
 }
 
-// Callers see a service at a third of its speed give far less than a third. It
-// waits for a slow service below it, so its latency is high however few calls
-// it has; a limit that follows the latency is cut down to nothing.
-TEST(ConcurrencyLimitTest, ServerThatWaitsForAnotherIsNotStarved) {
+// Guards against a service at a third of its speed reaching far less than a
+// third of its throughput. It waits for a slow downstream service, so its
+// latency is high however few calls it has; a limit that follows the latency
+// alone would drop to the floor.
+TEST(ConcurrencyLimitTest, ServerThatWaitsForDownstreamIsNotStarved) {
   FakeNodeOptions options;
   options.limit.ceiling = 100;
   options.limit.initial = 100;
   options.knee = 100;
   options.slowness = [](double s) { return s >= 3 && s < 13 ? 3.0 : 1.0; };
-  FakeNode node(options, {Steady(6000)}, 1);
+  FakeNode node(options, {SteadyLoad(6000)}, 1);
   node.RunUntil(20);
   CHECK(node.Tally(0, 4, 13).good >= 0.95 * 3333 * 9);
   CHECK(node.Tally(0, 14, 19).good_share() >= 0.99);
 }
 
-TEST(ConcurrencyLimitTest, LimitGrowsBackOnceTheServerIsQuickAgain) {
+TEST(ConcurrencyLimitTest, LimitGrowsToTheSlotsOfAFastServer) {
   FakeNodeOptions options;
   options.limit.ceiling = 100;
   options.limit.initial = 10;
   options.knee = 100;
-  FakeNode node(options, {Steady(8000)}, 1);
+  FakeNode node(options, {SteadyLoad(8000)}, 1);
   node.RunUntil(5);
   CHECK(node.Tally(0, 3, 4).good_share() >= 0.99);
 }
 
-TEST(ConcurrencyLimitTest, QuickRefusalsDoNotLookFast) {
+TEST(ConcurrencyLimitTest, QuickRefusalsDoNotAppearFast) {
   ConcurrencyLimitOptions options;
   options.ceiling = options.initial = 50;
   ConcurrencyLimit limit(options);
   TimePoint now{};
-  const Duration usual = std::chrono::milliseconds(10);
+  const Duration service_time = std::chrono::milliseconds(10);
   for (int sample = 0; sample < 1000; ++sample) {
     now += std::chrono::milliseconds(1);
-    limit.OnSample(usual, limit.limit(), false, now);
+    limit.OnSample(service_time, limit.limit(), false, now);
   }
   CHECK_EQUAL(50, limit.limit());
-  // Past 20 calls at once the server refuses what it cannot take.
-  int highest = 0;
+  // The server refuses calls beyond 20 at once.
+  int max_limit = 0;
   for (int sample = 0; sample < 5000; ++sample) {
     now += std::chrono::milliseconds(1);
     const bool refused = sample % limit.limit() >= 20;
-    limit.OnSample(refused ? Duration(100) : usual, limit.limit(), refused,
-                   now);
-    if (sample > 2000) highest = std::max(highest, limit.limit());
+    limit.OnSample(refused ? Duration(100) : service_time, limit.limit(),
+                   refused, now);
+    if (sample > 2000) max_limit = std::max(max_limit, limit.limit());
   }
-  CHECK(highest < 40);
+  CHECK(max_limit < 40);
 }
 
 TEST(ConcurrencyLimitTest, AlwaysWithinFloorAndCeiling) {
@@ -131,30 +132,31 @@
   }));
 }
 
-// Callers of a slowed server see it held at part of its slots for good. Each
-// announcement sets the mode again, twice a second; when that threw away what
-// was measured, no window ever filled and a trial's cut was never judged.
-TEST(ConcurrencyLimitTest, SettingTheSameModeAgainLosesNothing) {
+// Guards against a slowed server staying limited to a part of its slots
+// forever. Each announcement sets the mode again, twice a second; if that
+// discarded the samples, no window would fill and no trial would be evaluated.
+TEST(ConcurrencyLimitTest, SettingTheSameModeAgainKeepsTheState) {
   ConcurrencyLimitOptions options;
   options.initial = options.ceiling = 10;
   ConcurrencyLimit limit(options);
   TimePoint now{};
-  int lowest = options.ceiling;
+  int min_limit = options.ceiling;
   for (int sample = 0; sample < 6000; ++sample) {
     now += std::chrono::milliseconds(10);
     if (sample % 50 == 0) limit.SetAdaptive(true);
-    // Three times slower from the middle on, at any number in flight: waiting.
+    // From the middle on three times slower at any number in flight, as when
+    // the server waits for a downstream service.
     const Duration latency =
         std::chrono::milliseconds(sample < 3000 ? 50 : 150);
     limit.OnSample(latency, limit.limit(), false, now);
-    lowest = std::min(lowest, limit.limit());
+    min_limit = std::min(min_limit, limit.limit());
   }
   CHECK(limit.baseline() > Duration(0));
-  CHECK(lowest < options.ceiling);
+  CHECK(min_limit < options.ceiling);
   CHECK_EQUAL(options.ceiling, limit.limit());
 }
 
-TEST(ConcurrencyLimitTest, SwitchedOffInATrialItReturnsToItsLimit) {
+TEST(ConcurrencyLimitTest, DisablingDuringATrialRestoresTheLimit) {
   ConcurrencyLimitOptions options;
   options.initial = options.ceiling = 10;
   ConcurrencyLimit limit(options);
@@ -170,7 +172,7 @@
   CHECK_EQUAL(10, limit.limit());
 }
 
-TEST(ConcurrencyLimitTest, SwitchedOffItIsTheCeiling) {
+TEST(ConcurrencyLimitTest, DisabledLimitIsTheCeiling) {
   ConcurrencyLimit limit;
   limit.SetAdaptive(false);
   CHECK_EQUAL(100, limit.limit());
