--- a/src/include/amaranthroute/policy/admission_queue.h
+++ b/src/include/amaranthroute/policy/admission_queue.h
@@ -1,31 +1,33 @@
 #ifndef AMARANTHROUTE_POLICY_ADMISSION_QUEUE_H_
 #define AMARANTHROUTE_POLICY_ADMISSION_QUEUE_H_
 
-/// What waits for a slot of a backend server, in which order, and how long.
+/// Queue of calls that wait for a slot of a backend server: order, capacity and
+/// maximum wait.
 ///
-/// Load pattern: bursts, standing overload, and a few callers that send most of
-/// it. Without it a plain queue serves in order of arrival: in an overload that
-/// outlasts its trigger each call waits until its caller has nearly given up,
-/// so the server works on answers that nobody takes, browsing delays renewals,
-/// and one hot caller fills the queue for all.
+/// Load pattern: bursts, permanent overload, and a few callers that send most
+/// of the load. A plain queue serves in order of arrival. In an overload that
+/// outlasts its trigger each call then waits until its caller has nearly timed
+/// out, the server computes answers that nobody reads, browsing delays
+/// renewals, and one caller with a high rate fills the queue for all others.
 ///
-/// - A higher tier goes strictly first, and takes a lower one's place when the
-///   queue is full.
-/// - Within a tier callers take turns; when the queue is full the caller with
-///   the most calls waiting loses one to a caller with fewer.
-/// - A caller's calls go oldest first. Once the oldest call of a tier has
-///   waited over the target for an interval (the test of CoDel), newest first:
-///   new calls still have their whole deadline, old ones are lost anyway.
-/// - While that lasts, calls that waited longer than the patience are given up
-///   on, so their callers hear at once and the backlog goes when its cause
-///   goes.
-/// - Long work waits in a line of its own, in at most half of the places: it
-/// has
-///   slots of its own (LongWorkShare), and neither its waits, which say nothing
-///   of short calls, nor its numbers may cost short calls their places.
-/// - A call that cannot be done before its deadline is dropped before it costs
-///   a slot. One such call a second runs all the same when nothing else waits:
-///   a wrong estimate of the service time would otherwise never be corrected.
+/// - A higher tier is served strictly first, and replaces a call of a lower
+///   tier when the queue is full.
+/// - Within a tier callers are served in turn. When the queue is full, the
+///   caller with the most waiting calls loses one to a caller with fewer.
+/// - The calls of a caller are served oldest first. Once the oldest call of a
+///   tier has waited over the target for an interval (the criterion of CoDel),
+///   the order is newest first: new calls still have their whole deadline, and
+///   old ones would miss theirs anyway.
+/// - While a tier is overloaded, calls that waited longer than a timeout are
+///   dropped, so that their callers are answered at once and the backlog ends
+///   with its cause.
+/// - Long work waits in a lane of its own, in at most half of the places. It
+///   has its own slots (LongWorkShare); its waits say nothing about short
+///   calls, and it must not take their places.
+/// - A call that cannot end before its deadline is dropped before it uses a
+///   slot. When every waiting call is in that state, one per second runs
+///   nevertheless: a wrong estimate of the service time would otherwise never
+///   be corrected.
 
 #include <array>
 #include <cstdint>
@@ -43,7 +45,7 @@
 
 namespace amaranth {
 
-/// A call that waits for a slot.
+/// A call waiting for a slot.
 struct QueuedCall {
   uint64_t id = 0;  ///< unique in the queue
   Tier tier = Tier::kStandard;
@@ -52,11 +54,11 @@
   bool long_work = false;
   TimePoint enqueued{};
   TimePoint deadline = kNever;
-  /// Usual time of calls of its kind in the server, 0 if none was seen. With
-  /// less than that left it is hopeless. Not the server's mean over all kinds:
-  /// beside calls of a second, each call that may take half of one would be
-  /// refused as it arrives, and as refusing is quick, its server looks idle and
-  /// draws the calls of all others.
+  /// Typical service time of calls of this kind, 0 if unknown. With less than
+  /// that left before its deadline the call is dropped. This is not the
+  /// server's mean over all kinds: beside calls of one second, every call with
+  /// half a second to its deadline would be refused on arrival, and because
+  /// refusing is quick, the server would appear idle and attract all calls.
   Duration expected{0};
 
   friend bool operator==(const QueuedCall& a, const QueuedCall& b) {
@@ -70,98 +72,105 @@
   }
 };
 
-/// What became of a pushed call.
+/// Result of AdmissionQueue::Push.
 enum class PushResult {
   kQueued,
-  kFull,  ///< not taken: all that wait are at least as important
+  kFull,  ///< refused: no waiting call may be evicted for it
 };
 
 /// Bounds of an AdmissionQueue.
 struct AdmissionQueueOptions {
-  /// Calls that may wait. With 100 slots and 10 ms of service 256 calls are
-  /// 26 ms of work: enough for a burst, too few to hold a backlog.
+  /// Maximum number of waiting calls. With 100 slots and 10 ms of service time,
+  /// 256 calls are 26 ms of work: enough for a burst, too few for a backlog.
   size_t capacity = 256;
-  /// Wait that is no sign of overload; raised to the expected service time if
-  /// that is longer, as with few slots one wait of that length is ordinary.
+  /// Wait up to which a tier is not overloaded. The expected service time is
+  /// used if it is longer, because with few slots such a wait is normal.
   Duration target_delay = std::chrono::milliseconds(20);
-  /// Serve an overloaded tier newest first and give up on what waits beyond the
-  /// patience. Off where requests were let in at their entry to be finished:
-  /// those that came first are then the nearest to their end, and the age of
-  /// the oldest is the true wait by which the entry is steered.
+  /// Whether an overloaded tier is served newest first and its calls are
+  /// dropped after wait_timeout. False where requests are admitted at their
+  /// entry node and should then be completed: the oldest calls belong to the
+  /// requests nearest to their end, and the age of the oldest call is the wait
+  /// that controls admission.
   bool newest_first = true;
-  /// How long the wait must stay over the target. CoDel's 100 ms: longer than
-  /// a burst takes to drain, shorter than a caller notices.
+  /// Time for which the wait must exceed the target before a tier is
+  /// overloaded. The 100 ms of CoDel are longer than a burst takes to drain and
+  /// shorter than a caller notices.
   Duration interval = std::chrono::milliseconds(100);
-  /// Wait after which a call of an overloaded tier is given up on; raised to
-  /// twice the expected service time. Half of the 1 s in which we recover.
-  Duration patience = std::chrono::milliseconds(500);
-  /// How often a call that seems hopeless is run all the same.
-  Duration hopeless_period = std::chrono::seconds(1);
+  /// Wait after which a call of an overloaded tier is dropped, or twice the
+  /// expected service time if that is longer. Half of the recovery target of
+  /// one second.
+  Duration wait_timeout = std::chrono::milliseconds(500);
+  /// Minimum time between two calls that are run although they are not expected
+  /// to end before their deadline.
+  Duration late_call_period = std::chrono::seconds(1);
 };
 
-/// The calls that wait for one backend server. Every pushed call leaves exactly
+/// The calls waiting for one backend server. Every pushed call leaves exactly
 /// once: refused (kFull), evicted, popped, expired or removed.
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(AdmissionQueueOptions options = {});
 
-  /// Places for `max_wait` of work of a server with `slots` that takes
-  /// `service` for a call, but no fewer than `least`. A number of places that
-  /// suits 15 slots is a wait of 56 ms with 110 slots of 24 ms: where the wait
-  /// steers what is let in (ShedderOptions::steer_by_wait) the queue must hold
-  /// what that takes, or it refuses calls of requests that were let in to be
-  /// ended.
-  static size_t CapacityForWait(size_t least, int slots, Duration service,
+  /// Returns the number of calls that a server with `slots` slots and a service
+  /// time of `service` starts within `max_wait`, but at least `min_places`. A
+  /// fixed capacity of 256 is a wait of only 56 ms with 110 slots and 24 ms of
+  /// service. Where the wait controls admission
+  /// (ShedderOptions::steer_by_wait), a smaller queue refuses calls of admitted
+  /// requests before the threshold rises.
+  static size_t CapacityForWait(size_t min_places, int slots, Duration service,
                                 Duration max_wait = kSteeringWait);
-  /// A third more than the wait at which the threshold has cut the lowest group
-  /// of levels whole (ShedderOptions::calm_wait and group_wait).
+  /// A third more than the wait at which the lowest group of levels is shed
+  /// completely (ShedderOptions::tolerated_wait plus wait_per_group).
   static constexpr Duration kSteeringWait = std::chrono::milliseconds(300);
 
-  /// Changes the bounds; calls that wait stay, also beyond a lower capacity.
+  /// Changes the bounds. Waiting calls stay, even beyond a lower capacity.
   void Configure(const AdmissionQueueOptions& options);
 
-  /// Adds `call`, with a new id. If the queue is full a less important call may
-  /// be put into `evicted` in its stead; the caller of Push answers for those.
+  /// Adds `call`, whose id must be unique. If the queue is full, a less
+  /// important call may be evicted and appended to `evicted`; it must be
+  /// answered by the caller of Push.
   PushResult Push(QueuedCall call, TimePoint now,
                   std::vector<QueuedCall>& evicted);
 
-  /// The call that the free slot goes to, or nothing. Long work is passed over
-  /// unless `long_allowed`. Calls that were given up on go to `expired`.
+  /// Removes and returns the call to run in a free slot, if any. Skips long
+  /// work unless `long_allowed`. Appends dropped calls to `expired`.
   std::optional<QueuedCall> Pop(TimePoint now, Duration expected_service,
                                 bool long_allowed,
                                 std::vector<QueuedCall>& expired);
 
-  /// Takes out a cancelled call; false if it is not (or no longer) waiting.
+  /// Removes a cancelled call. Returns false if it is not waiting.
   bool Remove(uint64_t id);
 
-  /// Gives up on calls that missed, or will miss, their deadline, or waited
-  /// beyond the patience; also done by Pop.
+  /// Drops calls that missed or cannot meet their deadline, and calls of an
+  /// overloaded tier that reached the wait timeout. Also called by Pop.
   void DropExpired(TimePoint now, Duration expected_service,
                    std::vector<QueuedCall>& expired);
 
   size_t size() const;
-  /// Age of the oldest call that waits for any slot; zero if none. Leaves out
-  /// long work while its own share is what it waits for. Feed it to
+  /// Returns the age of the oldest waiting call, zero if none. Excludes long
+  /// work while it waits for a slot of its own share. Input of
   /// Shedder::OnQueueDelay.
   Duration standing_delay(TimePoint now) const;
-  /// When DropExpired may next have work; kNever when nothing waits.
+  /// Returns the next time at which DropExpired may have to drop a call; kNever
+  /// if no call waits.
   TimePoint next_deadline() const;
-  /// Whether `tier` is served newest first.
+  /// Returns whether `tier` is overloaded and thus served newest first.
   bool overloaded(Tier tier) const;
 
  private:
   using Calls = std::list<QueuedCall>;  // of one caller, oldest first
-  // The calls of one tier that compete for the same slots.
+  // The calls of one tier that compete for the same slots: its short calls, or
+  // its long work.
   struct Lane {
     std::map<std::string, Calls> callers;
-    std::list<std::string> turns;                     // next caller first
+    std::list<std::string> turn_order;  // callers, the next one first
     std::set<std::pair<TimePoint, uint64_t>> by_age;  // enqueued, id
-    TimePoint above_since = kNever;
+    TimePoint above_since = kNever;  // wait over the target, without a break
     bool overloaded = false;
   };
   struct TierLanes {
-    Lane brief;
-    Lane lengthy;
+    Lane short_calls;
+    Lane long_calls;
   };
   struct Place {
     Tier tier = Tier::kStandard;
@@ -170,26 +179,26 @@
 
   Lane& LaneOf(const QueuedCall& call);
   void Insert(QueuedCall call);
-  QueuedCall TakeOut(uint64_t id);
+  QueuedCall Extract(uint64_t id);
   bool MakeRoom(const QueuedCall& newcomer, std::vector<QueuedCall>& evicted);
   std::optional<uint64_t> VictimFor(const QueuedCall& newcomer,
                                     bool long_only) const;
-  void UpdateOverload(Lane& lane, TimePoint now,
-                      Duration expected_service) const;
-  void DropLate(TimePoint now, std::vector<QueuedCall>& expired);
-  void DropImpatient(const Lane& lane, TimePoint now,
-                     std::vector<QueuedCall>& expired);
+  void UpdateOverloaded(Lane& lane, TimePoint now,
+                        Duration expected_service) const;
+  void DropMissingDeadline(TimePoint now, std::vector<QueuedCall>& expired);
+  void DropOld(const Lane& lane, TimePoint now,
+               std::vector<QueuedCall>& expired);
 
   AdmissionQueueOptions options_;
   std::array<TierLanes, kTierCount> tiers_;
   std::unordered_map<uint64_t, Place> places_;
   std::set<std::pair<TimePoint, uint64_t>> by_deadline_;
-  // By the last moment at which a call may start to end in time.
+  // By the latest time at which a call can start and end before its deadline.
   std::set<std::pair<TimePoint, uint64_t>> by_latest_start_;
   size_t long_waiting_ = 0;
-  bool long_allowed_ = true;  // at the last Pop
-  TimePoint next_hopeless_{};
-  Duration patience_;  // raised to the last expected service time
+  bool long_allowed_ = true;  // whether long work could run at the last Pop
+  TimePoint next_late_call_{};
+  Duration wait_timeout_;  // with the last expected service time
 };
 
 }  // namespace amaranth
--- a/src/libpolicy/admission_queue.cc
+++ b/src/libpolicy/admission_queue.cc
@@ -6,13 +6,14 @@
 namespace amaranth {
 namespace {
 
-// Patience in expected service times: with few slots and long calls, 500 ms may
-// be one call's turn.
-constexpr int kPatienceServices = 2;
-// Part of the places that long work may take.
+// Lower bound of the wait timeout, in expected service times: with few slots
+// and long calls a wait for a single call may take 500 ms.
+constexpr int kTimeoutServiceTimes = 2;
+// Divisor of the capacity that gives the maximum number of waiting long work.
 constexpr size_t kLongPlacesDivisor = 2;
 
-// No call leaves the far end of time: kNever has no room below it.
+// Returns the latest time at which `call` can start and end before its
+// deadline. kNever is kept as it is, since it stands for no deadline.
 TimePoint LatestStart(const QueuedCall& call) {
   return call.deadline == kNever ? kNever : call.deadline - call.expected;
 }
@@ -20,15 +21,15 @@
 }  // namespace
 
 AdmissionQueue::AdmissionQueue(AdmissionQueueOptions options)
-    : options_(options), patience_(options.patience) {}
+    : options_(options), wait_timeout_(options.wait_timeout) {}
 
-size_t AdmissionQueue::CapacityForWait(size_t least, int slots,
+size_t AdmissionQueue::CapacityForWait(size_t min_places, int slots,
                                        Duration service, Duration max_wait) {
-  if (service <= Duration::zero() || slots <= 0) return least;
-  const double started = static_cast<double>(slots) *
-                         static_cast<double>(max_wait.count()) /
-                         static_cast<double>(service.count());
-  return std::max(least, static_cast<size_t>(started));
+  if (service <= Duration::zero() || slots <= 0) return min_places;
+  const double places = static_cast<double>(slots) *
+                        static_cast<double>(max_wait.count()) /
+                        static_cast<double>(service.count());
+  return std::max(min_places, static_cast<size_t>(places));
 }
 
 void AdmissionQueue::Configure(const AdmissionQueueOptions& options) {
@@ -48,22 +49,24 @@
   DropExpired(now, expected_service, expired);
   long_allowed_ = long_allowed;
   for (auto tier = tiers_.rbegin(); tier != tiers_.rend(); ++tier) {
-    Lane* lane = &tier->brief;
-    const Lane& lengthy = tier->lengthy;
-    const bool long_waits = long_allowed && !lengthy.by_age.empty();
+    Lane* lane = &tier->short_calls;
+    const Lane& long_calls = tier->long_calls;
+    const bool long_waits = long_allowed && !long_calls.by_age.empty();
     if (long_waits && (lane->by_age.empty() ||
-                       *lengthy.by_age.begin() < *lane->by_age.begin())) {
-      lane = &tier->lengthy;
+                       *long_calls.by_age.begin() < *lane->by_age.begin())) {
+      lane = &tier->long_calls;
     }
-    if (lane->turns.empty()) continue;
-    const Calls& calls = lane->callers.at(lane->turns.front());
+    if (lane->turn_order.empty()) continue;
+    const Calls& calls = lane->callers.at(lane->turn_order.front());
     const uint64_t id = lane->overloaded ? calls.back().id : calls.front().id;
-    lane->turns.splice(lane->turns.end(), lane->turns, lane->turns.begin());
-    QueuedCall call = TakeOut(id);
-    // Long work that still waits now waits for its own share, as far as known.
+    lane->turn_order.splice(lane->turn_order.end(), lane->turn_order,
+                            lane->turn_order.begin());
+    QueuedCall call = Extract(id);
+    // Whether the share of long work has a further slot is unknown until the
+    // next Pop, so long work still waiting is assumed to wait for its share.
     if (call.long_work) long_allowed_ = false;
     if (LatestStart(call) <= now) {
-      next_hopeless_ = now + options_.hopeless_period;
+      next_late_call_ = now + options_.late_call_period;
     }
     return call;
   }
@@ -72,17 +75,18 @@
 
 bool AdmissionQueue::Remove(uint64_t id) {
   if (places_.count(id) == 0) return false;
-  TakeOut(id);
+  Extract(id);
   return true;
 }
 
 void AdmissionQueue::DropExpired(TimePoint now, Duration expected_service,
                                  std::vector<QueuedCall>& expired) {
-  patience_ = std::max(options_.patience, expected_service * kPatienceServices);
-  DropLate(now, expired);
+  wait_timeout_ =
+      std::max(options_.wait_timeout, expected_service * kTimeoutServiceTimes);
+  DropMissingDeadline(now, expired);
   for (TierLanes& tier : tiers_) {
-    UpdateOverload(tier.brief, now, expected_service);
-    if (tier.brief.overloaded) DropImpatient(tier.brief, now, expired);
+    UpdateOverloaded(tier.short_calls, now, expected_service);
+    if (tier.short_calls.overloaded) DropOld(tier.short_calls, now, expired);
   }
 }
 
@@ -95,8 +99,8 @@
     oldest = std::max(oldest, now - lane.by_age.begin()->first);
   };
   for (const TierLanes& tier : tiers_) {
-    include(tier.brief);
-    if (long_allowed_) include(tier.lengthy);
+    include(tier.short_calls);
+    if (long_allowed_) include(tier.long_calls);
   }
   return oldest;
 }
@@ -105,26 +109,26 @@
   if (by_deadline_.empty()) return kNever;
   TimePoint next = by_deadline_.begin()->first;
   for (const TierLanes& tier : tiers_) {
-    const Lane& lane = tier.brief;
+    const Lane& lane = tier.short_calls;
     if (!lane.overloaded || lane.by_age.empty()) continue;
-    next = std::min(next, lane.by_age.begin()->first + patience_);
+    next = std::min(next, lane.by_age.begin()->first + wait_timeout_);
   }
   return next;
 }
 
 bool AdmissionQueue::overloaded(Tier tier) const {
-  return tiers_[static_cast<size_t>(tier)].brief.overloaded;
+  return tiers_[static_cast<size_t>(tier)].short_calls.overloaded;
 }
 
 AdmissionQueue::Lane& AdmissionQueue::LaneOf(const QueuedCall& call) {
   TierLanes& tier = tiers_[static_cast<size_t>(call.tier)];
-  return call.long_work ? tier.lengthy : tier.brief;
+  return call.long_work ? tier.long_calls : tier.short_calls;
 }
 
 void AdmissionQueue::Insert(QueuedCall call) {
   Lane& lane = LaneOf(call);
   const auto [caller, is_new] = lane.callers.try_emplace(call.caller_key);
-  if (is_new) lane.turns.push_back(call.caller_key);
+  if (is_new) lane.turn_order.push_back(call.caller_key);
   lane.by_age.emplace(call.enqueued, call.id);
   by_deadline_.emplace(call.deadline, call.id);
   by_latest_start_.emplace(LatestStart(call), call.id);
@@ -135,7 +139,7 @@
   places_[added->id] = Place{added->tier, added};
 }
 
-QueuedCall AdmissionQueue::TakeOut(uint64_t id) {
+QueuedCall AdmissionQueue::Extract(uint64_t id) {
   const auto place = places_.find(id);
   const Calls::iterator at = place->second.call;
   places_.erase(place);
@@ -149,7 +153,7 @@
   caller->second.erase(at);
   if (caller->second.empty()) {
     lane.callers.erase(caller);
-    lane.turns.remove(call.caller_key);
+    lane.turn_order.remove(call.caller_key);
   }
   return call;
 }
@@ -163,7 +167,7 @@
   if (!full && !long_full) return true;
   const std::optional<uint64_t> victim = VictimFor(newcomer, long_full);
   if (!victim) return false;
-  evicted.push_back(TakeOut(*victim));
+  evicted.push_back(Extract(*victim));
   return true;
 }
 
@@ -171,31 +175,33 @@
                                                   bool long_only) const {
   const auto own_rank = static_cast<size_t>(newcomer.tier);
   for (size_t rank = 0; rank <= own_rank; ++rank) {
-    // The caller with the most calls, over both lanes.
-    const Lane* fullest = nullptr;
-    const std::string* hottest = nullptr;
+    // The caller with the most waiting calls in one lane, over both lanes.
+    const Lane* busiest_lane = nullptr;
+    const std::string* busiest_caller = nullptr;
     size_t most = 0;
-    for (const Lane* lane : {&tiers_[rank].lengthy, &tiers_[rank].brief}) {
-      if (long_only && lane == &tiers_[rank].brief) continue;
+    for (const Lane* lane :
+         {&tiers_[rank].long_calls, &tiers_[rank].short_calls}) {
+      if (long_only && lane == &tiers_[rank].short_calls) continue;
       for (const auto& [caller, calls] : lane->callers) {
         if (calls.size() <= most) continue;
         most = calls.size();
-        hottest = &caller;
-        fullest = lane;
+        busiest_caller = &caller;
+        busiest_lane = lane;
       }
     }
-    if (hottest == nullptr) continue;
+    if (busiest_caller == nullptr) continue;
     if (rank == own_rank) {
-      // Among equals only the caller with the most calls gives way, and only
-      // if that leaves it with no fewer than the newcomer's.
-      const Lane& own =
-          newcomer.long_work ? tiers_[rank].lengthy : tiers_[rank].brief;
+      // In the newcomer's own tier only the caller with the most waiting calls
+      // loses one, and only if it keeps at least as many as the newcomer's
+      // caller then has.
+      const Lane& own = newcomer.long_work ? tiers_[rank].long_calls
+                                           : tiers_[rank].short_calls;
       const auto found = own.callers.find(newcomer.caller_key);
       const size_t own_calls =
           found == own.callers.end() ? 0 : found->second.size();
       if (own_calls + 1 >= most) return std::nullopt;
     }
-    const Calls& calls = fullest->callers.at(*hottest);
+    const Calls& calls = busiest_lane->callers.at(*busiest_caller);
     return std::min_element(calls.begin(), calls.end(),
                             [](const QueuedCall& a, const QueuedCall& b) {
                               return a.level < b.level;
@@ -205,8 +211,8 @@
   return std::nullopt;
 }
 
-void AdmissionQueue::UpdateOverload(Lane& lane, TimePoint now,
-                                    Duration expected_service) const {
+void AdmissionQueue::UpdateOverloaded(Lane& lane, TimePoint now,
+                                      Duration expected_service) const {
   const Duration target = std::max(options_.target_delay, expected_service);
   if (lane.by_age.empty() || now - lane.by_age.begin()->first <= target) {
     lane.above_since = kNever;
@@ -218,23 +224,24 @@
   if (now - lane.above_since >= options_.interval) lane.overloaded = true;
 }
 
-void AdmissionQueue::DropLate(TimePoint now, std::vector<QueuedCall>& expired) {
+void AdmissionQueue::DropMissingDeadline(TimePoint now,
+                                         std::vector<QueuedCall>& expired) {
   while (!by_deadline_.empty() && by_deadline_.begin()->first <= now) {
-    expired.push_back(TakeOut(by_deadline_.begin()->second));
+    expired.push_back(Extract(by_deadline_.begin()->second));
   }
-  const bool all_hopeless =
+  const bool all_late =
       !by_latest_start_.empty() && by_latest_start_.rbegin()->first <= now;
-  if (all_hopeless && now >= next_hopeless_) return;
+  if (all_late && now >= next_late_call_) return;
   while (!by_latest_start_.empty() && by_latest_start_.begin()->first <= now) {
-    expired.push_back(TakeOut(by_latest_start_.begin()->second));
+    expired.push_back(Extract(by_latest_start_.begin()->second));
   }
 }
 
-void AdmissionQueue::DropImpatient(const Lane& lane, TimePoint now,
-                                   std::vector<QueuedCall>& expired) {
+void AdmissionQueue::DropOld(const Lane& lane, TimePoint now,
+                             std::vector<QueuedCall>& expired) {
   while (!lane.by_age.empty() &&
-         now - lane.by_age.begin()->first >= patience_) {
-    expired.push_back(TakeOut(lane.by_age.begin()->second));
+         now - lane.by_age.begin()->first >= wait_timeout_) {
+    expired.push_back(Extract(lane.by_age.begin()->second));
   }
 }
 
--- a/src/libpolicy/admission_queue_test.cc
+++ b/src/libpolicy/admission_queue_test.cc
@@ -28,14 +28,14 @@
   return TimePoint{} + milliseconds(millis);
 }
 
-// A queue beside the list of what should be waiting in it.
+// A queue together with the calls expected to wait in it.
 struct CheckedQueue {
   explicit CheckedQueue(size_t capacity)
       : queue(AdmissionQueueOptions{capacity}),
         long_places(std::max<size_t>(1, capacity / 2)) {}
 
-  void Leave(const std::vector<QueuedCall>& gone) {
-    for (const QueuedCall& call : gone) {
+  void ExpectRemoved(const std::vector<QueuedCall>& removed) {
+    for (const QueuedCall& call : removed) {
       RC_ASSERT(waiting.count(call.id) == 1u);
       RC_ASSERT(waiting.at(call.id) == call);
       waiting.erase(call.id);
@@ -43,7 +43,7 @@
   }
 
   void Push(const QueuedCall& call, TimePoint now) {
-    // Long work has a limit of its own, under which only long work gives way.
+    // Long work has its own capacity; at that only long work is evicted for it.
     const auto is_long = [](const auto& entry) {
       return entry.second.long_work;
     };
@@ -52,17 +52,18 @@
     const bool long_only = call.long_work && long_waiting >= long_places;
     std::vector<QueuedCall> evicted;
     const PushResult result = queue.Push(call, now, evicted);
-    Leave(evicted);
-    // Turned away or evicted: nothing less important that competes for the
-    // same places is left waiting.
-    Tier least = Tier::kBackground;
-    if (result == PushResult::kFull) least = call.tier;
+    ExpectRemoved(evicted);
+    // After a refusal or an eviction no less important call that competes for
+    // the same places is waiting.
+    Tier min_tier_waiting = Tier::kBackground;
+    if (result == PushResult::kFull) min_tier_waiting = call.tier;
     for (const QueuedCall& victim : evicted) {
       RC_ASSERT(victim.tier <= call.tier);
-      least = victim.tier;
+      min_tier_waiting = victim.tier;
     }
     for (const auto& entry : waiting) {
-      RC_ASSERT((long_only && !is_long(entry)) || entry.second.tier >= least);
+      RC_ASSERT((long_only && !is_long(entry)) ||
+                entry.second.tier >= min_tier_waiting);
     }
     if (result == PushResult::kQueued) waiting[call.id] = call;
   }
@@ -71,18 +72,18 @@
     std::vector<QueuedCall> expired;
     const std::optional<QueuedCall> call =
         queue.Pop(now, milliseconds(10), long_allowed, expired);
-    Leave(expired);
-    const auto may_run = [&](const auto& entry) {
+    ExpectRemoved(expired);
+    const auto can_run = [&](const auto& entry) {
       return long_allowed || !entry.second.long_work;
     };
     if (!call) {
-      RC_ASSERT(std::none_of(waiting.begin(), waiting.end(), may_run));
+      RC_ASSERT(std::none_of(waiting.begin(), waiting.end(), can_run));
       return;
     }
     RC_ASSERT(call->deadline > now);
-    Leave({*call});
+    ExpectRemoved({*call});
     for (const auto& entry : waiting) {
-      RC_ASSERT(!may_run(entry) || entry.second.tier <= call->tier);
+      RC_ASSERT(!can_run(entry) || entry.second.tier <= call->tier);
     }
   }
 
@@ -95,7 +96,7 @@
 
 TEST_GROUP(AdmissionQueueTest){};
 
-TEST(AdmissionQueueTest, EveryCallLeavesOnceAndHigherTiersGoFirst) {
+TEST(AdmissionQueueTest, EveryCallLeavesOnceAndHigherTiersAreServedFirst) {
   CHECK(rc::check([] {
     CheckedQueue checked(*rc::gen::inRange<size_t>(1, 8));
     int64_t now = 0;
@@ -126,7 +127,7 @@
   }));
 }
 
-TEST(AdmissionQueueTest, StandingDelayTurnsTheOrder) {
+TEST(AdmissionQueueTest, PermanentDelayReversesTheOrder) {
   AdmissionQueue queue;
   std::vector<QueuedCall> out;
   for (uint64_t id = 0; id < 30; ++id) {
@@ -136,15 +137,16 @@
   CHECK_EQUAL(0u, queue.Pop(AtMillis(300), Duration(0), true, out)->id);
   CHECK_EQUAL(29u, queue.Pop(AtMillis(400), Duration(0), true, out)->id);
   CHECK(queue.overloaded(Tier::kBrowse));
-  // What waited beyond the patience is given up on at once, not at 5000.
+  // Calls over the wait timeout are dropped at once, not at their deadline of
+  // 5000 ms.
   queue.DropExpired(AtMillis(650), Duration(0), out);
   CHECK_EQUAL(15u, out.size());
 }
 
-// The caller sees every call refused although the server is well again.
-// A stall made the expected service time 3 s; no call has a deadline that far
-// off, so each is dropped as hopeless, none runs, and the estimate never falls.
-TEST(AdmissionQueueTest, WrongServiceTimeIsCorrectedByOneCallASecond) {
+// Guards against every call being refused although the server has recovered. A
+// stall raised the expected service time to 3 s; no call has a deadline that
+// far away, so all calls are dropped, none runs, and the estimate never falls.
+TEST(AdmissionQueueTest, WrongServiceTimeIsCorrectedByOneCallPerSecond) {
   AdmissionQueue queue;
   std::vector<QueuedCall> out;
   int ran = 0;
@@ -158,29 +160,31 @@
   CHECK_EQUAL(5, ran);
 }
 
-// Callers of a short call are all refused at once while its server is fine.
-// Beside it run calls of a second, so the server's mean is longer than a short
-// call may take at all. What a call needs is the time of its own kind.
-TEST(AdmissionQueueTest, AShortCallIsNotHopelessBesideLongOnes) {
+// Guards against all short calls being refused at once by a healthy server. It
+// also runs calls of one second, so the mean service time of the server exceeds
+// the deadline of a short call. The expected time must be that of the call's
+// own kind.
+TEST(AdmissionQueueTest, ShortCallIsNotDroppedBesideLongOnes) {
   AdmissionQueue queue;
   std::vector<QueuedCall> out;
-  QueuedCall brief = MakeCall(1, Tier::kStandard, "a", 0, 500);
-  brief.expected = milliseconds(100);
-  QueuedCall lengthy = MakeCall(2, Tier::kBrowse, "a", 0, 900);
-  lengthy.expected = milliseconds(1000);
-  queue.Push(brief, AtMillis(0), out);
-  queue.Push(lengthy, AtMillis(0), out);
-  const std::optional<QueuedCall> next =
+  QueuedCall short_call = MakeCall(1, Tier::kStandard, "a", 0, 500);
+  short_call.expected = milliseconds(100);
+  QueuedCall long_call = MakeCall(2, Tier::kBrowse, "a", 0, 900);
+  long_call.expected = milliseconds(1000);
+  queue.Push(short_call, AtMillis(0), out);
+  queue.Push(long_call, AtMillis(0), out);
+  const std::optional<QueuedCall> popped =
       queue.Pop(AtMillis(10), milliseconds(800), true, out);
-  CHECK(next.has_value());
-  CHECK_EQUAL(1u, next->id);
+  CHECK(popped.has_value());
+  CHECK_EQUAL(1u, popped->id);
   CHECK_EQUAL(1u, out.size());
   CHECK_EQUAL(2u, out.front().id);
 }
 
-// Nine callers see most of their calls refused, because a tenth sends ten times
-// what all of them do; its calls fill the queue, and theirs find no place.
-TEST(AdmissionQueueTest, HotCallerDoesNotCrowdOutOthers) {
+// Guards against nine callers having most of their calls refused because a
+// tenth sends ten times as many as all of them together and its calls fill the
+// queue.
+TEST(AdmissionQueueTest, CallerWithAHighRateDoesNotCrowdOutOthers) {
   pvt::FakeNodeOptions options;
   options.limit.ceiling = 10;
   options.limit.initial = 10;
@@ -196,7 +200,7 @@
   for (size_t caller = 1; caller < 10; ++caller) {
     CHECK(node.Tally(caller, 1, 4).good_share() >= 0.99);
   }
-  CHECK(node.Tally(0, 1, 4).good >= 1350);  // the other half of 1000 a second
+  CHECK(node.Tally(0, 1, 4).good >= 1350);  // the other half of 1000 per second
 }
 
 }  // namespace amaranth
