--- a/src/include/amaranthroute/policy/caller_shares.h
+++ b/src/include/amaranthroute/policy/caller_shares.h
@@ -1,14 +1,14 @@
 #ifndef AMARANTHROUTE_POLICY_CALLER_SHARES_H_
 #define AMARANTHROUTE_POLICY_CALLER_SHARES_H_
 
-/// Fair shares among the callers of one service and tier, while it sheds.
+/// Fair shares for the callers of one service and tier while load is shed.
 ///
-/// Load pattern: one caller, or a few, ask for most of what a service can do.
-/// Shedding by request alone takes the same share of every caller's requests:
-/// with one at three times the capacity, nine quiet ones lose half of theirs.
-/// Here a caller that asks for more than its fair share gets lower shedding
-/// levels in proportion, so that its surplus is shed first. Nothing changes for
-/// anybody while nothing is shed.
+/// Load pattern: one caller or a few request most of a service's capacity.
+/// Shedding by request alone sheds the same share of every caller's requests:
+/// with one caller at three times the capacity, nine light callers lose half of
+/// their requests. A caller that requests more than its fair share gets
+/// proportionally lower shedding levels, so that its surplus is shed first.
+/// While nothing is shed the levels have no effect.
 
 #include <cstdint>
 #include <string>
@@ -20,24 +20,28 @@
 
 namespace amaranth {
 
-/// Demand of the callers of one service and tier, as seen by one entry node.
+/// Measures the demand of the callers of one service and tier at one entry
+/// node.
 class CallerShares {
  public:
-  /// Long enough to count a caller of a few requests a second, short enough
-  /// that one that calms down is forgiven within two seconds.
+  /// Counting window; the demand covers the current and the previous one. Long
+  /// enough for callers of a few requests per second, and short enough that a
+  /// caller regains its full weight within two seconds of lowering its demand.
   static constexpr Duration kWindow = std::chrono::seconds(1);
-  /// Demand above the mean that is still no surplus: equal callers differ by
-  /// chance, and must not be taken for hot ones.
-  static constexpr double kSlack = 1.5;
-  /// Callers counted in a window; further ones count as quiet, so that memory
-  /// stays bounded however many names are invented.
+  /// Multiple of the mean demand up to which a caller has no surplus. Equal
+  /// callers differ by chance and must not lose levels.
+  static constexpr double kTolerance = 1.5;
+  /// Maximum number of callers counted in a window, which bounds the memory
+  /// whatever caller names are sent. Further callers are not counted and
+  /// keep a weight of 1.
   static constexpr size_t kMaxCallers = 5000;
 
-  /// A request of `caller` arrived.
+  /// Records a request of `caller`.
   void OnArrival(const std::string& caller, TimePoint now);
 
-  /// Part of the tier's levels open to the caller: 1 up to its fair share, else
-  /// the fair share over its demand. Above 0.
+  /// Returns the fraction of the tier's levels available to the caller: 1 up to
+  /// its fair share, otherwise the fair share divided by its demand. Always
+  /// greater than 0.
   double Weight(const std::string& caller) const;
 
  private:
@@ -45,15 +49,15 @@
 
   uint64_t DemandOf(const std::string& caller) const;
 
-  TimePoint turned_{};
-  Counts newer_;
-  Counts older_;
-  uint64_t newer_total_ = 0;
-  uint64_t older_total_ = 0;
+  TimePoint window_start_{};
+  Counts current_;
+  Counts previous_;
+  uint64_t current_total_ = 0;
+  uint64_t previous_total_ = 0;
 };
 
-/// SheddingLevel of a request whose caller has `weight`; at most the level that
-/// it has at weight 1, and in the same tier.
+/// Returns the shedding level of a request whose caller has `weight` (0 to 1).
+/// It is in the same tier as SheddingLevel and never higher.
 uint32_t WeightedSheddingLevel(Tier tier, std::string_view request_id,
                                double weight);
 
--- a/src/include/amaranthroute/policy/fleet_retry_share.h
+++ b/src/include/amaranthroute/policy/fleet_retry_share.h
@@ -1,17 +1,18 @@
 #ifndef AMARANTHROUTE_POLICY_FLEET_RETRY_SHARE_H_
 #define AMARANTHROUTE_POLICY_FLEET_RETRY_SHARE_H_
 
-/// A node's part of a retry budget that all nodes share.
+/// A node's share of a retry budget that applies to the whole fleet.
 ///
-/// Load pattern: many nodes send to one service, and it fails at all of them at
-/// once. A limit for each node lets the service meet that limit times the
-/// number of nodes. The operators' budget is for the sum, over any span of the
-/// window's length: a ratio of the requests and a fixed number on top.
+/// Load pattern: many nodes send to one service, and it fails for all of them
+/// at once. With a separate limit per node the service receives that limit
+/// times the number of nodes. The operators' budget limits the sum over any
+/// period of the window's length: a ratio of the requests plus a fixed number.
 ///
-/// The ratio splits by itself, each node applying it to its own requests; the
-/// fixed number is split evenly. Both shares are safe without a word between
-/// nodes, also while they are cut off from each other. What one node does not
-/// use is lost: with 13 nodes and 47 retries a node has 3 for itself.
+/// Each node applies the ratio to its own requests and gets an equal part of
+/// the fixed number. Both are safe without communication between nodes, also
+/// during a network partition. The part that a node does not use is lost. With
+/// 13 nodes and a fixed number of 47, each node has a part of 3.6, of which
+/// kUsableFraction allows 2 retries.
 
 #include <cstddef>
 
@@ -23,24 +24,26 @@
 /// The fleet's budget for one service.
 struct FleetRetryLimits {
   double ratio = 0;  ///< retries per request
-  double slack = 0;  ///< retries on top, in one window
+  double slack = 0;  ///< fixed number of retries per window, added to these
   Duration window{0};
 };
 
-/// Retries of one service that one node may send.
+/// Limits the retries to one service that one node may send.
 class FleetRetryShare {
  public:
   explicit FleetRetryShare(const FleetRetryLimits& limits);
 
-  /// A request for the service came to this node.
+  /// Records a request for the service at this node.
   void OnRequest(TimePoint now);
-  /// Takes one retry, if this node's share with `nodes` nodes has one left.
+  /// Takes one retry from this node's share of a fleet of `nodes` nodes.
+  /// Returns false, and takes nothing, if the share is used up.
   bool TryRetry(size_t nodes, TimePoint now);
 
  private:
-  /// Requests are counted to the moment, retries are judged by others' clocks
-  /// and arrive later than they are sent: this part of the share is kept free.
-  static constexpr double kUsable = 0.8;
+  /// Fraction of the share that may be used. The rest is a reserve: requests
+  /// are counted at the moment they arrive, but retries reach the service later
+  /// than they are sent, and are counted there by another clock.
+  static constexpr double kUsableFraction = 0.8;
 
   FleetRetryLimits limits_;
   SlidingCount requests_;
--- a/src/libpolicy/fleet_retry_share.cc
+++ b/src/libpolicy/fleet_retry_share.cc
@@ -16,8 +16,8 @@
       limits_.slack / static_cast<double>(std::max<size_t>(1, nodes));
   const double share =
       limits_.ratio * static_cast<double>(requests_.Total(now)) + slack;
-  const double after = static_cast<double>(retries_.Total(now)) + 1;
-  if (after > kUsable * share) return false;
+  const double retries_after = static_cast<double>(retries_.Total(now)) + 1;
+  if (retries_after > kUsableFraction * share) return false;
   retries_.Add(now);
   return true;
 }
--- a/src/libpolicy/fleet_retry_share_test.cc
+++ b/src/libpolicy/fleet_retry_share_test.cc
@@ -14,9 +14,10 @@
 // NOLINTNEXTLINE(readability-identifier-naming)
 TEST_GROUP(FleetRetryShare){};
 
-// The service would meet many times the budget: all of 13 nodes see it fail in
-// the same second, and each has failed requests enough to retry without end.
-TEST(FleetRetryShare, NodesThatSeeOneFailureKeepToTheSumTogether) {
+// Guards against the service receiving many times the budget: all 13 nodes see
+// it fail in the same second, and each has enough failed requests to retry at
+// any rate.
+TEST(FleetRetryShare, NodesThatSeeOneFailureStayWithinTheFleetBudget) {
   constexpr size_t kNodes = 13;
   std::vector<FleetRetryShare> nodes(kNodes, FleetRetryShare(kLimits));
   int requests = 0;
@@ -33,7 +34,7 @@
   CHECK(retries <= 0.2 * requests + 47);
 }
 
-TEST(FleetRetryShare, AQuietNodeHasItsPartOfTheFixedNumber) {
+TEST(FleetRetryShare, IdleNodeHasItsPartOfTheFixedNumber) {
   FleetRetryShare share(kLimits);
   const TimePoint now = FromMicros(0);
   CHECK(share.TryRetry(13, now));
