--- a/src/include/amaranthroute/policy/crash_guard.h
+++ b/src/include/amaranthroute/policy/crash_guard.h
@@ -1,18 +1,18 @@
 #ifndef AMARANTHROUTE_POLICY_CRASH_GUARD_H_
 #define AMARANTHROUTE_POLICY_CRASH_GUARD_H_
 
-/// Finds requests that crash the backend servers that run them.
+/// Detects requests that crash the backend servers that run them.
 ///
-/// Load pattern: one request kills the server that runs it, its caller (or a
-/// retry) sends it again, and it goes from server to server until the service
-/// is gone, taking the innocent calls in flight with it each time.
+/// Load pattern: one request crashes the server that runs it, a resend or a
+/// retry sends it to the next server, and so on until the service is
+/// unavailable. Each crash also fails the other calls in flight.
 ///
-/// All calls in flight at a crash are suspects, known by the fingerprint of
-/// their content, and run alone from then on. The second crash then has one
-/// culprit, which is quarantined: answered at once with a final failure, not
-/// run. Suspects that survive a run are cleared. So two crashes are enough, and
-/// an innocent request pays one run alone. One crash is never enough: servers
-/// also die by themselves.
+/// All calls in flight at a crash become suspects, identified by the
+/// fingerprint of their content, and are run alone from then on. The second
+/// crash then identifies its cause, which is quarantined: answered at once with
+/// a final failure and not run. Suspects that end without a crash are cleared.
+/// Two crashes are thus enough, and any other request is run alone once. One
+/// crash is never enough, because servers also crash for other reasons.
 
 #include <cstddef>
 #include <cstdint>
@@ -25,22 +25,23 @@
 
 /// Bounds of a CrashGuard.
 struct CrashGuardOptions {
-  /// A suspect that was not sent again is forgotten after this long; crashes
-  /// further apart are not counted together.
+  /// Time after its last crash at which a suspect expires; crashes further
+  /// apart are not combined.
   Duration suspicion = std::chrono::minutes(10);
-  /// A quarantined request is tried again after this long: the servers may
-  /// have been mended, and a wrong verdict does not last.
+  /// Time after which a quarantine ends: the servers may have been fixed, and a
+  /// wrong decision must not be permanent.
   Duration quarantine = std::chrono::minutes(30);
-  /// Fingerprints remembered. Ten crashes of a server with 140 slots, and
-  /// some; the oldest suspects go first, quarantined ones last.
+  /// Maximum number of stored fingerprints; enough for ten crashes of a server
+  /// with 140 slots. The oldest suspects are evicted first, quarantined ones
+  /// last.
   size_t capacity = 2048;
 };
 
-/// Poison requests of one service, as a serving node knows them. Fingerprint 0
-/// means "none" and is never suspected.
+/// Suspects and quarantined requests of one service at one serving node.
+/// Fingerprint 0 means "none" and is never a suspect.
 class CrashGuard {
  public:
-  /// How a request is to be run.
+  /// How a request must be run.
   enum class Handling {
     kNormal,
     kRunAlone,     ///< with no other call in flight at its server
@@ -49,23 +50,25 @@
 
   explicit CrashGuard(CrashGuardOptions options = {});
 
-  /// A server died with these fingerprints in flight.
+  /// Records a server crash with these fingerprints in flight.
   void OnCrash(const std::vector<uint64_t>& in_flight, TimePoint now);
   Handling HandlingOf(uint64_t fingerprint, TimePoint now) const;
-  /// A call with `fingerprint` was answered by its server.
+  /// Records that a call with `fingerprint` was answered by its server.
   void OnSurvived(uint64_t fingerprint, TimePoint now);
 
-  /// Fingerprints quarantined by OnCrash since the last time: to be spread.
+  /// Returns the fingerprints quarantined by OnCrash since the last call of
+  /// this function, to be sent to other nodes.
   std::vector<uint64_t> TakeNewlyQuarantined();
-  /// Fingerprints suspected by OnCrash since the last time. Spread, they make
-  /// the second crash find its culprit wherever in the data centre it happens.
+  /// Returns the fingerprints that OnCrash made suspects since the last call of
+  /// this function. If they are sent to other nodes, the second crash
+  /// identifies its cause wherever in the data centre it happens.
   std::vector<uint64_t> TakeNewSuspects();
-  /// Another node quarantined `fingerprint`.
+  /// Records that another node quarantined `fingerprint`.
   void Quarantine(uint64_t fingerprint, TimePoint now);
-  /// Another node suspects `fingerprint`.
+  /// Records that `fingerprint` is a suspect at another node.
   void Suspect(uint64_t fingerprint, TimePoint now);
 
-  /// Fingerprints remembered.
+  /// Returns the number of stored fingerprints.
   size_t size() const;
 
  private:
@@ -73,14 +76,14 @@
     bool suspect = false;
     bool quarantined = false;
     int crashes_alone = 0;
-    TimePoint last{};  // of the latest crash or verdict
+    TimePoint last_event{};  // last crash, suspicion or quarantine
   };
 
   bool Expired(const Entry& entry, TimePoint now) const;
   void MarkSuspect(uint64_t fingerprint, TimePoint now);
   void MarkQuarantined(uint64_t fingerprint, TimePoint now);
   void RemoveExpired(TimePoint now);
-  void KeepCapacity();
+  void EnforceCapacity();
 
   CrashGuardOptions options_;
   std::unordered_map<uint64_t, Entry> entries_;
--- a/src/include/amaranthroute/policy/sliding_count.h
+++ b/src/include/amaranthroute/policy/sliding_count.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_POLICY_SLIDING_COUNT_H_
 #define AMARANTHROUTE_POLICY_SLIDING_COUNT_H_
 
-/// Number of events in the last stretch of time, in constant memory.
+/// Counts the events in a sliding time window, in constant memory.
 
 #include <array>
 #include <cstddef>
@@ -12,8 +12,8 @@
 namespace amaranth {
 
 /// Counts events in kBuckets buckets that together cover the window. An event
-/// leaves the count between (kBuckets - 1) / kBuckets of the window and a whole
-/// window after it came.
+/// is removed from the count between (kBuckets - 1) / kBuckets of the window
+/// and one full window after it was added.
 class SlidingCount {
  public:
   static constexpr size_t kBuckets = 20;
@@ -25,11 +25,11 @@
 
  private:
   struct Bucket {
-    int64_t number = -1;  // of the bucket since the clock's start
+    int64_t number = -1;  // time since the clock's start, in bucket lengths
     uint64_t count = 0;
   };
 
-  int64_t NumberOf(TimePoint now) const;
+  int64_t BucketNumber(TimePoint now) const;
 
   int64_t bucket_micros_;
   std::array<Bucket, kBuckets> buckets_{};
--- a/src/include/amaranthroute/policy/slow_start.h
+++ b/src/include/amaranthroute/policy/slow_start.h
@@ -1,22 +1,23 @@
 #ifndef AMARANTHROUTE_POLICY_SLOW_START_H_
 #define AMARANTHROUTE_POLICY_SLOW_START_H_
 
-/// How fast load moves to a server that is new, cold or back.
+/// Ramps up the load of a backend server that is new or has returned.
 ///
-/// Load pattern: a server announces itself in the middle of a surge. It has no
-/// calls in flight, so it looks the best to every entry node at once, and is
-/// flooded while its caches are cold: it slows, is ejected, comes back and is
-/// flooded again. A ramp gives it time to warm up under little load.
+/// Load pattern: a server announces itself during a surge. It has no calls in
+/// flight, so every entry node prefers it at once, and it is overloaded while
+/// its caches are cold: it slows down, is ejected, returns and is overloaded
+/// again. A ramp lets it warm up under little load.
 
 #include "amaranthroute/time.h"
 
 namespace amaranth {
 
-/// The least weight: some calls must flow, or nothing ever warms up.
+/// The minimum weight: a server without any calls would never warm up.
 inline constexpr double kMinSlowStartWeight = 0.1;
 
-/// Part of its full share that a server gets: linear from kMinSlowStartWeight
-/// at `first_seen` to 1 after `ramp` (1 at once if `ramp` is zero).
+/// Returns the fraction of its full share that a server gets at `now`: the time
+/// since `first_seen` divided by `ramp`, clamped to kMinSlowStartWeight and 1.
+/// It is 1 if `ramp` is zero.
 double SlowStartWeight(TimePoint first_seen, TimePoint now, Duration ramp);
 
 }  // namespace amaranth
--- a/src/libpolicy/admission_queue_test.cc
+++ b/src/libpolicy/admission_queue_test.cc
@@ -43,7 +43,7 @@
   }
 
   void Push(const QueuedCall& call, TimePoint now) {
-    // Long work has its own capacity; at that only long work is evicted for it.
+    // Once long work has reached its own capacity only long work is evicted.
     const auto is_long = [](const auto& entry) {
       return entry.second.long_work;
     };
--- a/src/libpolicy/crash_guard.cc
+++ b/src/libpolicy/crash_guard.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr uint64_t kNoFingerprint = 0;
-// Crashes with a fingerprint as the only one in flight that prove it guilty.
+// Crashes with a fingerprint as the only one in flight that prove it the cause.
 constexpr int kCrashesAloneToQuarantine = 2;
 
 std::vector<uint64_t> Unique(std::vector<uint64_t> fingerprints) {
@@ -35,8 +35,8 @@
       common.push_back(fingerprint);
     }
   }
-  // Exactly one call was also in flight at an earlier crash: it is the cause.
-  // With several, none can be told from the others; they go on alone.
+  // If exactly one suspect was in flight, it is the cause. Several suspects
+  // cannot be told apart and continue to be run alone.
   if (common.size() == 1) {
     MarkQuarantined(common.front(), now);
     newly_quarantined_.push_back(common.front());
@@ -44,7 +44,7 @@
   }
   if (candidates.size() == 1) {
     Entry& entry = entries_[candidates.front()];
-    entry.last = now;
+    entry.last_event = now;
     if (++entry.crashes_alone >= kCrashesAloneToQuarantine &&
         !entry.quarantined) {
       MarkQuarantined(candidates.front(), now);
@@ -56,7 +56,7 @@
     MarkSuspect(fingerprint, now);
     new_suspects_.push_back(fingerprint);
   }
-  KeepCapacity();
+  EnforceCapacity();
 }
 
 CrashGuard::Handling CrashGuard::HandlingOf(uint64_t fingerprint,
@@ -77,8 +77,8 @@
     entries_.erase(found);
     return;
   }
-  // It was the only call in flight at a crash: not a suspect any more, but a
-  // request that crashes its server every other time must not start afresh.
+  // It was the only call in flight at a crash. It is no longer a suspect, but
+  // its crash count is kept to detect a request that crashes every other time.
   found->second.suspect = false;
 }
 
@@ -93,14 +93,14 @@
 void CrashGuard::Quarantine(uint64_t fingerprint, TimePoint now) {
   if (fingerprint == kNoFingerprint) return;
   MarkQuarantined(fingerprint, now);
-  KeepCapacity();
+  EnforceCapacity();
 }
 
 void CrashGuard::Suspect(uint64_t fingerprint, TimePoint now) {
   if (fingerprint == kNoFingerprint) return;
   if (HandlingOf(fingerprint, now) == Handling::kQuarantined) return;
   MarkSuspect(fingerprint, now);
-  KeepCapacity();
+  EnforceCapacity();
 }
 
 size_t CrashGuard::size() const { return entries_.size(); }
@@ -108,7 +108,7 @@
 bool CrashGuard::Expired(const Entry& entry, TimePoint now) const {
   const Duration lifetime =
       entry.quarantined ? options_.quarantine : options_.suspicion;
-  return now - entry.last >= lifetime;
+  return now - entry.last_event >= lifetime;
 }
 
 void CrashGuard::MarkSuspect(uint64_t fingerprint, TimePoint now) {
@@ -116,14 +116,14 @@
   if (entry.quarantined && !Expired(entry, now)) return;
   entry.quarantined = false;
   entry.suspect = true;
-  entry.last = now;
+  entry.last_event = now;
 }
 
 void CrashGuard::MarkQuarantined(uint64_t fingerprint, TimePoint now) {
   Entry& entry = entries_[fingerprint];
   entry.quarantined = true;
   entry.suspect = false;
-  entry.last = now;
+  entry.last_event = now;
 }
 
 void CrashGuard::RemoveExpired(TimePoint now) {
@@ -133,14 +133,14 @@
   }
 }
 
-void CrashGuard::KeepCapacity() {
+void CrashGuard::EnforceCapacity() {
   while (entries_.size() > options_.capacity) {
-    const auto least = std::min_element(
+    const auto oldest = std::min_element(
         entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
-          return std::make_pair(a.second.quarantined, a.second.last) <
-                 std::make_pair(b.second.quarantined, b.second.last);
+          return std::make_pair(a.second.quarantined, a.second.last_event) <
+                 std::make_pair(b.second.quarantined, b.second.last_event);
         });
-    entries_.erase(least);
+    entries_.erase(oldest);
   }
 }
 
--- a/src/libpolicy/crash_guard_test.cc
+++ b/src/libpolicy/crash_guard_test.cc
@@ -15,9 +15,10 @@
 
 TEST_GROUP(CrashGuardTest){};
 
-// Callers see server after server die. One request kills whichever runs it, its
-// caller sends it again, and the calls beside it are lost each time.
-TEST(CrashGuardTest, CulpritIsFoundInTwoCrashesAndInnocentsCleared) {
+// Guards against one server after another crashing: one request crashes every
+// server that runs it, its caller resends it, and each time the other calls in
+// flight fail.
+TEST(CrashGuardTest, CauseIsFoundInTwoCrashesAndOthersAreCleared) {
   CrashGuard guard;
   const TimePoint now{};
   guard.OnCrash({1, 2, 3, 3, 0}, now);
@@ -33,7 +34,7 @@
   CHECK(guard.TakeNewlyQuarantined() == std::vector<uint64_t>{2});
   CHECK(guard.TakeNewlyQuarantined().empty());
   CHECK(guard.HandlingOf(3, now) == Handling::kRunAlone);
-  guard.OnSurvived(2, now);  // a late answer changes nothing
+  guard.OnSurvived(2, now);  // a late answer does not end the quarantine
   CHECK(guard.HandlingOf(2, now) == Handling::kQuarantined);
   CHECK(guard.HandlingOf(2, now + minutes(31)) == Handling::kNormal);
 }
@@ -46,11 +47,11 @@
   CHECK(guard.HandlingOf(7, now + minutes(11)) == Handling::kNormal);
 }
 
-TEST(CrashGuardTest, SuspectsOfAnotherNodeAreRunAloneHere) {
+TEST(CrashGuardTest, SuspectsOfAnotherNodeCountHere) {
   CrashGuard guard;
   const TimePoint now{};
   guard.Suspect(7, now);
-  guard.OnCrash({7, 8, 9}, now);  // in spite of it: the only common suspect
+  guard.OnCrash({7, 8, 9}, now);  // 7 is the only suspect in flight
   CHECK(guard.HandlingOf(7, now) == Handling::kQuarantined);
   CHECK(guard.HandlingOf(8, now) == Handling::kNormal);
   guard.Quarantine(9, now);
@@ -76,9 +77,10 @@
     const int steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
       now += std::chrono::seconds(*rc::gen::inRange(0, 100));
-      const auto drawn = *rc::gen::container<std::vector<uint64_t>>(
+      const auto fingerprints = *rc::gen::container<std::vector<uint64_t>>(
           rc::gen::inRange<uint64_t>(1, 20));
-      const std::set<uint64_t> in_flight(drawn.begin(), drawn.end());
+      const std::set<uint64_t> in_flight(fingerprints.begin(),
+                                         fingerprints.end());
       if (*rc::gen::arbitrary<bool>()) {
         for (uint64_t fingerprint : in_flight) ++crashes[fingerprint];
         guard.OnCrash({in_flight.begin(), in_flight.end()}, now);
--- a/src/libpolicy/long_work.cc
+++ b/src/libpolicy/long_work.cc
@@ -12,8 +12,8 @@
 }
 
 int LongWorkShare::Slots(int limit) const {
-  const int most = std::max(1, limit - 1);
-  return std::clamp(static_cast<int>(share_ * limit), 1, most);
+  const int max_slots = std::max(1, limit - 1);
+  return std::clamp(static_cast<int>(share_ * limit), 1, max_slots);
 }
 
 }  // namespace amaranth
