--- a/src/include/amaranthroute/policy/admission_queue.h
+++ b/src/include/amaranthroute/policy/admission_queue.h
@@ -118,10 +118,10 @@
   /// ShedderOptions::steer_by_wait), a smaller queue refuses calls of admitted
   /// requests before the threshold rises enough.
   static size_t CapacityForWait(size_t min_places, int slots, Duration service,
-                                Duration max_wait = kSteeringWait);
+                                Duration max_wait = kMaxControlledWait);
   /// A third more than the wait at which the lowest group of levels is shed
   /// completely (ShedderOptions::tolerated_wait plus wait_per_group).
-  static constexpr Duration kSteeringWait = std::chrono::milliseconds(300);
+  static constexpr Duration kMaxControlledWait = std::chrono::milliseconds(300);
 
   /// Changes the bounds. Waiting calls stay, even beyond a lower capacity.
   void Configure(const AdmissionQueueOptions& options);
--- a/src/include/amaranthroute/policy/fleet_retry_share.h
+++ b/src/include/amaranthroute/policy/fleet_retry_share.h
@@ -24,7 +24,7 @@
 /// The fleet's budget for one service.
 struct FleetRetryLimits {
   double ratio = 0;  ///< retries per request
-  double slack = 0;  ///< fixed number of retries per window, added to these
+  double slack = 0;  ///< fixed number of retries per window, in addition
   Duration window{0};
 };
 
--- a/src/include/amaranthroute/policy/shedder.h
+++ b/src/include/amaranthroute/policy/shedder.h
@@ -60,8 +60,9 @@
   /// waits for all others. With a lower target a server with few slots runs out
   /// of calls by chance; with a higher one overload is detected later.
   Duration target_delay = std::chrono::milliseconds(80);
-  /// Minimum of the target, in typical service times. With 10 slots and a
-  /// service time of 200 ms, waiting for one call to end takes half of this.
+  /// Minimum of the target, in typical service times. With few slots a call may
+  /// have to wait for another one to end, which takes half of this: 200 ms at a
+  /// service time of 200 ms.
   double target_service_times = 2.0;
   /// Shortest window. Allows ten decisions within the recovery target of one
   /// second.
@@ -96,8 +97,8 @@
   /// refills.
   Duration tolerated_wait = std::chrono::milliseconds(100);
   /// Additional wait over which the lowest group of levels in use is shed
-  /// completely, before the next group. A request that waits four times for
-  /// half of this still ends within its target of one second.
+  /// completely, before the next group. A request with four calls that wait
+  /// for half of this each still ends within its target of one second.
   Duration wait_per_group = std::chrono::milliseconds(130);
   /// Factor on wait_per_group for each further group. Shedding the lowest group
   /// takes effect only after its requests in flight have ended; until then the
@@ -185,8 +186,8 @@
 /// first, and the first answer shows whether the service has recovered.
 class DownstreamThresholds {
  public:
-  /// Age at which an entry starts to decay; longer than several windows of a
-  /// Shedder.
+  /// Age at which an entry starts to decay; longer than two of the shortest
+  /// windows of a Shedder.
   static constexpr Duration kDecayDelay = std::chrono::milliseconds(250);
   /// Time that the decay to 0 takes, within the recovery target of one second.
   static constexpr Duration kDecayTime = std::chrono::milliseconds(500);
