--- a/src/libpolicy/slot_search_test.cc
+++ b/src/libpolicy/slot_search_test.cc
@@ -14,94 +14,100 @@
 
 using std::chrono::milliseconds;
 
-constexpr double kSpread = 0.5;  // of service times, around their mean
+constexpr double kServiceTimeSpread = 0.5;  // sigma of lognormal service times
 
-// One backend server for which calls always wait. Virtual time.
-class ShortServer {
+// Simulates, in virtual time, one backend server with a backlog of calls.
+class SaturatedServer {
  public:
   struct Options {
     int slots = 110;
     double mean_ms = 24;
-    // Factor on the time of a call that starts as one of so many.
-    std::function<double(int in_flight)> crowding = [](int) { return 1.0; };
-    // Factor on all times, by the seconds since the start.
+    // Factor on the service time of a call that starts as one of `in_flight`.
+    std::function<double(int in_flight)> congestion = [](int) { return 1.0; };
+    // Factor on all service times, by the seconds since the start.
     std::function<double(double seconds)> slowness = [](double) { return 1.0; };
-    // Calls wait only up to this second, and from the other on.
-    double calm_from = 1e9;
-    double calm_to = 1e9;
+    // Between these seconds there is no backlog and half of the slots are used.
+    double underload_from = 1e9;
+    double underload_to = 1e9;
   };
 
-  ShortServer(Options options, uint64_t seed)
+  SaturatedServer(Options options, uint64_t seed)
       : options_(std::move(options)), random_(seed) {
     search_.SetSlots(options_.slots);
   }
 
-  // Calls that ended a second in [from, to), which is played if need be.
-  double EndedASecond(double from, double to) {
+  // Runs until `to` and returns the calls completed per second in [from, to).
+  double Throughput(double from, double to) {
     RunUntil(from);
-    const int before = ended_;
+    const int before = completed_;
     RunUntil(to);
-    return (ended_ - before) / (to - from);
+    return (completed_ - before) / (to - from);
   }
 
   void RunUntil(double seconds) {
-    Fill();
-    while (!running_.empty() && running_.top().at_ms < seconds * 1000) {
-      const Running call = running_.top();
+    FillSlots();
+    while (!running_.empty() && running_.top().ends_at_ms < seconds * 1000) {
+      const RunningCall call = running_.top();
       running_.pop();
-      now_ms_ = call.at_ms;
-      ++ended_;
-      const Duration took(static_cast<int64_t>(call.took_ms * 1000));
-      search_.OnServed(took, CallsWait(), FromMicros(int64_t(now_ms_ * 1000)));
-      lowest_ = std::min(lowest_, search_.limit());
-      Fill();
+      now_ms_ = call.ends_at_ms;
+      ++completed_;
+      const Duration service_time(static_cast<int64_t>(call.service_ms * 1000));
+      search_.OnServed(service_time, HasBacklog(),
+                       FromMicros(int64_t(now_ms_ * 1000)));
+      lowest_limit_ = std::min(lowest_limit_, search_.limit());
+      FillSlots();
     }
   }
 
   const SlotSearch& search() const { return search_; }
-  int lowest() const { return lowest_; }
+  int lowest_limit() const { return lowest_limit_; }
 
  private:
-  struct Running {
-    double at_ms;
-    double took_ms;
-    bool operator<(const Running& other) const { return at_ms > other.at_ms; }
+  struct RunningCall {
+    double ends_at_ms;
+    double service_ms;
+    bool operator<(const RunningCall& other) const {
+      return ends_at_ms > other.ends_at_ms;
+    }
   };
 
-  bool CallsWait() const {
+  bool HasBacklog() const {
     const double seconds = now_ms_ / 1000;
-    return seconds < options_.calm_from || seconds >= options_.calm_to;
+    return seconds < options_.underload_from ||
+           seconds >= options_.underload_to;
   }
 
-  void Fill() {
-    const int most = CallsWait() ? search_.limit() : search_.limit() / 2;
-    while (static_cast<int>(running_.size()) < most) {
+  void FillSlots() {
+    const int max_in_flight =
+        HasBacklog() ? search_.limit() : search_.limit() / 2;
+    while (static_cast<int>(running_.size()) < max_in_flight) {
       const int in_flight = static_cast<int>(running_.size()) + 1;
-      std::lognormal_distribution<double> spread(-kSpread * kSpread / 2,
-                                                 kSpread);
-      const double took = options_.mean_ms * spread(random_) *
-                          options_.crowding(in_flight) *
-                          options_.slowness(now_ms_ / 1000);
-      running_.push({now_ms_ + took, took});
+      std::lognormal_distribution<double> spread(
+          -kServiceTimeSpread * kServiceTimeSpread / 2, kServiceTimeSpread);
+      const double service_time = options_.mean_ms * spread(random_) *
+                                  options_.congestion(in_flight) *
+                                  options_.slowness(now_ms_ / 1000);
+      running_.push({now_ms_ + service_time, service_time});
     }
   }
 
   Options options_;
   std::mt19937_64 random_;
   SlotSearch search_;
-  std::priority_queue<Running> running_;
+  std::priority_queue<RunningCall> running_;
   double now_ms_ = 0;
-  int ended_ = 0;
-  int lowest_ = 1 << 20;
+  int completed_ = 0;
+  int lowest_limit_ = 1 << 20;
 };
 
-// A server that takes `factor` as long for calls above `share` of its slots.
-ShortServer::Options SlowWhenNearlyFull(int slots, double mean_ms, double share,
-                                        double factor) {
-  ShortServer::Options options;
+// A server whose calls take `factor` times as long while more than `share` of
+// its slots are in use.
+SaturatedServer::Options SlowWhenNearlyFull(int slots, double mean_ms,
+                                            double share, double factor) {
+  SaturatedServer::Options options;
   options.slots = slots;
   options.mean_ms = mean_ms;
-  options.crowding = [=](int in_flight) {
+  options.congestion = [=](int in_flight) {
     return in_flight > share * slots ? factor : 1.0;
   };
   return options;
@@ -111,103 +117,110 @@
 
 TEST_GROUP(SlotSearchTest){};
 
-// Callers are turned away for a fifth of what the service could do. It is
-// short, so all slots are taken, and nearly full its servers take 1.4 times as
-// long for each call: the last slots cost more than they bring. Left free, the
-// same servers end nearly all that they can, large ones and small ones alike.
-TEST(SlotSearchTest, AServerThatIsSlowWhenNearlyFullIsNotFilled) {
+// Guards against the loss of a fifth of a service's capacity: under overload
+// all slots are in use, and nearly full servers take 1.4 times as long for each
+// call, so the last slots cost more throughput than they add. Checked for small
+// and large servers.
+TEST(SlotSearchTest, LowersTheLimitOfAServerThatSlowsDownWhenNearlyFull) {
   for (const uint64_t seed : {1, 2, 3, 4, 5}) {
     for (const int slots : {15, 45, 110, 400}) {
-      ShortServer server(SlowWhenNearlyFull(slots, 24, 0.92, 1.4), seed);
+      SaturatedServer server(SlowWhenNearlyFull(slots, 24, 0.92, 1.4), seed);
       const double best = std::floor(0.92 * slots) / 0.024;
-      CHECK(server.EndedASecond(5, 25) >= 0.94 * best);
+      CHECK(server.Throughput(5, 25) >= 0.94 * best);
     }
   }
 }
 
-// The gain is there while a burst of a few seconds still lasts.
-TEST(SlotSearchTest, AFewSecondsAreEnoughToFindThem) {
+// Guards against a search that takes longer than a burst of a few seconds.
+TEST(SlotSearchTest, FindsTheLimitWithinSeconds) {
   for (const uint64_t seed : {1, 2, 3, 4, 5}) {
-    ShortServer server(SlowWhenNearlyFull(100, 20, 0.93, 1.3), seed);
-    CHECK(server.EndedASecond(1.5, 4) >= 0.93 * 93 / 0.020);
+    SaturatedServer server(SlowWhenNearlyFull(100, 20, 0.93, 1.3), seed);
+    CHECK(server.Throughput(1.5, 4) >= 0.93 * 93 / 0.020);
   }
 }
 
-// Callers of a server that is just busy see no difference: every slot ends its
-// part of the calls, and a trial that takes some away is soon over.
-TEST(SlotSearchTest, AServerThatIsNotCrowdedKeepsItsSlots) {
+// Guards against lost throughput at a server that is busy but does not slow
+// down when full: every slot adds its share, and trials with fewer slots are
+// short.
+TEST(SlotSearchTest, KeepsAllSlotsWithoutCongestion) {
   for (const uint64_t seed : {1, 2, 3, 4, 5}) {
     for (const int slots : {15, 110}) {
-      ShortServer::Options options;
+      SaturatedServer::Options options;
       options.slots = slots;
-      ShortServer server(options, seed);
-      CHECK(server.EndedASecond(0, 30) >= 0.97 * slots / 0.024);
+      SaturatedServer server(options, seed);
+      CHECK(server.Throughput(0, 30) >= 0.97 * slots / 0.024);
     }
   }
 }
 
-// A server turns five times slower in the middle of a trial and recovers. Taken
-// for the effect of the slots, that would leave it with ever fewer of them.
-TEST(SlotSearchTest, AServerThatTurnsSlowKeepsItsSlots) {
+// Guards against a change of speed that is mistaken for an effect of the limit,
+// which would lower the limit again and again: a server becomes five times
+// slower during a trial and then recovers.
+TEST(SlotSearchTest, KeepsAllSlotsWhenAllCallsSlowDown) {
   for (int start = 0; start < 20; ++start) {
-    ShortServer::Options options;
+    SaturatedServer::Options options;
     const double from = 2 + start * 0.05;
     options.slowness = [from](double s) {
       return s >= from && s < from + 5 ? 5.0 : 1.0;
     };
-    ShortServer server(options, static_cast<uint64_t>(start));
-    CHECK(server.EndedASecond(from + 1, from + 5) >= 0.9 * 110 / 0.120);
-    CHECK(server.EndedASecond(from + 8, from + 20) >= 0.95 * 110 / 0.024);
+    SaturatedServer server(options, static_cast<uint64_t>(start));
+    CHECK(server.Throughput(from + 1, from + 5) >= 0.9 * 110 / 0.120);
+    CHECK(server.Throughput(from + 8, from + 20) >= 0.95 * 110 / 0.024);
   }
 }
 
-// The cause of the crowding goes: the slots are given back.
-TEST(SlotSearchTest, SlotsComeBackWhenTheyAreWorthSomethingAgain) {
-  ShortServer::Options options = SlowWhenNearlyFull(110, 24, 0.7, 1.8);
-  const std::function<double(int)> crowding = options.crowding;
-  bool crowded = true;
-  options.crowding = [&](int in_flight) {
-    return crowded ? crowding(in_flight) : 1.0;
+// Guards against a limit that stays low after the cause of the congestion has
+// gone.
+TEST(SlotSearchTest, RaisesTheLimitWhenCongestionEnds) {
+  SaturatedServer::Options options = SlowWhenNearlyFull(110, 24, 0.7, 1.8);
+  const std::function<double(int)> congestion = options.congestion;
+  bool congested = true;
+  options.congestion = [&](int in_flight) {
+    return congested ? congestion(in_flight) : 1.0;
   };
-  ShortServer server(options, 7);
-  CHECK(server.EndedASecond(12, 30) >= 0.9 * 77 / 0.024);
+  SaturatedServer server(options, 7);
+  CHECK(server.Throughput(12, 30) >= 0.9 * 77 / 0.024);
   CHECK(server.search().limit() < 95);
-  crowded = false;
-  CHECK(server.EndedASecond(50, 60) >= 0.97 * 110 / 0.024);
+  congested = false;
+  CHECK(server.Throughput(50, 60) >= 0.97 * 110 / 0.024);
 }
 
-// What a server ends that is not short says how much it is asked for: with
-// fewer slots it would end just as much, until the next burst needs them.
-TEST(SlotSearchTest, NothingIsTriedWhileNoCallsWait) {
-  ShortServer::Options options;
-  options.calm_from = 0;
-  ShortServer server(options, 1);
+// Guards against a limit that is lowered below capacity: the throughput of a
+// server without a backlog is its offered load, which fewer slots would serve
+// just as well until the next burst.
+TEST(SlotSearchTest, StartsNoTrialWithoutABacklog) {
+  SaturatedServer::Options options;
+  options.underload_from = 0;
+  SaturatedServer server(options, 1);
   server.RunUntil(20);
-  CHECK_EQUAL(110, server.lowest());
+  CHECK_EQUAL(110, server.lowest_limit());
 }
 
-TEST(SlotSearchTest, ATrialEndsWhenCallsNoLongerWait) {
+// Guards against a trial that goes on measuring the offered load after the
+// backlog has gone.
+TEST(SlotSearchTest, AbandonsATrialWhenTheBacklogEnds) {
   for (int i = 0; i < 20; ++i) {
-    ShortServer::Options options;
-    options.calm_from = 0.2 + i * 0.05;
-    ShortServer server(options, 3);
-    server.RunUntil(options.calm_from + 2);
+    SaturatedServer::Options options;
+    options.underload_from = 0.2 + i * 0.05;
+    SaturatedServer server(options, 3);
+    server.RunUntil(options.underload_from + 2);
     CHECK_EQUAL(110, server.search().limit());
   }
 }
 
-// Ten slots of a second each end ten calls a second: a verdict would take
-// minutes, and the trial cost more than it could bring.
-TEST(SlotSearchTest, AServerOfLongCallsIsLeftAlone) {
-  ShortServer::Options options;
+// Guards against trials that cost more than they could gain: ten slots with
+// calls of one second complete ten calls per second, so a whole trial would
+// take minutes. It is abandoned before the limit is lowered.
+TEST(SlotSearchTest, KeepsAllSlotsOfAServerWithLongCalls) {
+  SaturatedServer::Options options;
   options.slots = 10;
   options.mean_ms = 1000;
-  ShortServer server(options, 1);
+  SaturatedServer server(options, 1);
   server.RunUntil(120);
-  CHECK_EQUAL(10, server.lowest());
+  CHECK_EQUAL(10, server.lowest_limit());
 }
 
-TEST(SlotSearchTest, AnnouncedSlotsBoundIt) {
+TEST(SlotSearchTest, LimitStaysBetweenOneAndTheAnnouncedSlots) {
   CHECK(rc::check([] {
     SlotSearch search;
     int slots = 1;
@@ -218,12 +231,12 @@
         slots = *rc::gen::inRange(0, 300);
         search.SetSlots(slots);
       }
-      const Duration own_time(*rc::gen::inRange(0, 1000000));
+      const Duration service_time(*rc::gen::inRange(0, 1000000));
       const Duration gap(*rc::gen::inRange(0, 10000));
-      const bool calls_wait = *rc::gen::inRange(0, 5) != 0;
+      const bool has_backlog = *rc::gen::inRange(0, 5) != 0;
       for (int call = 0; call < 2000; ++call) {
         now += gap;
-        search.OnServed(own_time, calls_wait, now);
+        search.OnServed(service_time, has_backlog, now);
         RC_ASSERT(search.limit() >= 1);
         RC_ASSERT(search.limit() <= std::max(1, slots));
       }
