--- a/src/include/amaranthroute/policy/server_judge.h
+++ b/src/include/amaranthroute/policy/server_judge.h
@@ -1,22 +1,23 @@
 #ifndef AMARANTHROUTE_POLICY_SERVER_JUDGE_H_
 #define AMARANTHROUTE_POLICY_SERVER_JUDGE_H_
 
-/// What the node beside a backend server tells every caller of it.
+/// Detects, at the serving node of a backend server, that the server is failing
+/// or slow. The result is published to all entry nodes.
 ///
 /// Load pattern: a service of a hundred servers is called by two hundred entry
-/// nodes, a few calls a second each, and some servers turn slow or fail part of
-/// their calls while their health endpoint says all is well. An entry node
-/// meets one server every few seconds: OutlierDetector never has the results
-/// that it needs, and each node sends the bad servers their full share. The
-/// node beside a server sees all of its calls.
+/// nodes, a few calls per second each, and some servers become slow or fail
+/// part of their calls while their health endpoint reports no problem. An entry
+/// node calls a given server only every few seconds: its OutlierDetector never
+/// has enough results, and each node sends the bad servers their full share.
+/// The serving node sees all calls of its server.
 ///
-/// Calls of different kinds take different times, and a server's share of each
-/// changes from moment to moment. So each call is compared with the usual time
-/// of its own kind, which its caller tells.
+/// Calls of different kinds take different times, and a server's mix of kinds
+/// changes from moment to moment. Each call is therefore compared with the
+/// typical service time of its own kind, which the entry node sends with it.
 ///
-/// A verdict needs a window of results. It stands for a while, longer each time
-/// it is repeated, then callers try the server again: one that gets no calls
-/// could not show that it has recovered.
+/// A verdict requires a window of results. It holds for a limited time, longer
+/// with each repetition, after which entry nodes call the server again: a
+/// server without calls could not show that it has recovered.
 
 #include <cstdint>
 #include <tuple>
@@ -25,11 +26,12 @@
 
 namespace amaranth {
 
-/// How a backend server does.
+/// Health of a backend server, as its serving node sees it.
 struct ServerFitness {
-  /// Fails a large part of its calls by itself.
+  /// Fails a large share of its calls by its own fault.
   bool failing = false;
-  /// Time of a call as a multiple of the usual one; 1 if much the same.
+  /// Service time as a multiple of the typical one, rounded down; 1 if the
+  /// server is not slow.
   uint32_t slowdown = 1;
 
   bool sound() const { return !failing && slowdown <= 1; }
@@ -41,56 +43,58 @@
   }
 };
 
-/// Bounds of a ServerJudge.
+/// Windows, thresholds and hold times of a ServerJudge.
 struct ServerJudgeOptions {
-  /// Results of one window, and the least time that it covers.
-  uint32_t window_results = 10;
-  Duration window_time = std::chrono::milliseconds(250);
-  /// A window that fills more slowly is begun anew: old results would outvote
+  /// Minimum number of results in a window, and minimum time that it covers.
+  uint32_t min_results = 10;
+  Duration min_window = std::chrono::milliseconds(250);
+  /// A window that is older than this is discarded: old results would outweigh
   /// new ones.
-  Duration longest_window = std::chrono::seconds(10);
-  /// Failed share of a window that makes a server failing.
-  double failing_share = 0.35;
-  /// Usual times that make a server slow, and the least mean excess: 2 ms
-  /// against 0.3 ms harms nobody.
+  Duration max_window = std::chrono::seconds(10);
+  /// Failed fraction of a window from which on a server counts as failing.
+  double failure_share = 0.35;
+  /// Multiple of the typical service time from which on a server counts as
+  /// slow, and minimum mean excess over it: 2 ms instead of 0.3 ms is harmless.
   double slow_factor = 3;
-  Duration least_excess = std::chrono::milliseconds(20);
-  uint32_t most_slowdown = 20;
-  /// How long a verdict stands; twice as long after each repetition.
-  Duration first_hold = std::chrono::seconds(4);
-  Duration longest_hold = std::chrono::seconds(30);
-  /// A server that was sound for so long starts afresh.
-  Duration forgiven_after = std::chrono::seconds(60);
+  Duration min_excess = std::chrono::milliseconds(20);
+  /// Upper bound of ServerFitness::slowdown.
+  uint32_t max_slowdown = 20;
+  /// How long a verdict holds; doubled with each repetition.
+  Duration initial_hold = std::chrono::seconds(4);
+  Duration max_hold = std::chrono::seconds(30);
+  /// The hold time is reset this long after the last verdict has expired.
+  Duration reset_after = std::chrono::seconds(60);
 };
 
-/// Judges one backend server by all of its calls.
+/// Evaluates one backend server by the results of all its calls.
 class ServerJudge {
  public:
   explicit ServerJudge(ServerJudgeOptions options = {});
 
-  /// A call ended after `own_time` in the server itself; `usual` is what calls
-  /// of its kind take at the servers of this service, 0 if its caller does not
-  /// know. `failed`: by the server's own fault, not because a call that it made
-  /// failed.
-  void OnEnded(Duration own_time, Duration usual, bool failed, TimePoint now);
+  /// Records a call's result. `service_time`: without nested calls.
+  /// `typical_time`: typical service time of calls of this kind at the servers
+  /// of this service, 0 if the entry node does not know it. `failed`: by the
+  /// server's own fault, not because a nested call failed.
+  void OnEnded(Duration service_time, Duration typical_time, bool failed,
+               TimePoint now);
 
-  /// The verdict at `now`.
+  /// Returns the verdict that holds at `now`; healthy if none does.
   ServerFitness Fitness(TimePoint now);
 
  private:
   struct Window {
     uint32_t results = 0;
     uint32_t failures = 0;
-    // Of the successes whose usual time is known.
+    // Of the successes whose typical service time is known.
     uint32_t compared = 0;
-    Duration time{0};   // sum
-    Duration usual{0};  // sum
-    TimePoint began{};
+    Duration service_time{0};  // sum
+    Duration typical_time{0};  // sum
+    TimePoint started{};
   };
 
-  bool IsFull(TimePoint now) const;
-  ServerFitness VerdictOfWindow() const;
-  void Hold(const ServerFitness& verdict, TimePoint now);
+  bool IsWindowComplete(TimePoint now) const;
+  ServerFitness WindowVerdict() const;
+  void HoldVerdict(const ServerFitness& verdict, TimePoint now);
 
   ServerJudgeOptions options_;
   Window window_;
