--- a/src/libpolicy/server_picker.cc
+++ b/src/libpolicy/server_picker.cc
@@ -9,44 +9,44 @@
 
 using Indexes = std::vector<size_t>;
 
-// Below this a weight would make the score useless, and a server with weight 0
-// would never be tried.
+// Lower bound of weights: a server of weight 0 would never be selected, and
+// could not be divided by.
 constexpr double kMinWeight = 0.01;
-// A server whose limit nobody told us is taken to have this many slots.
-constexpr double kUnknownLimit = 10;
+// Concurrency limit assumed for a server that has not reported one.
+constexpr double kAssumedLimit = 10;
 
-// A server of another data centre is taken if its expected wait, so much longer
-// as this, is still the shorter one. 20 ms is the wait of two turns at a server
-// of short calls, which any burst brings.
+// A remote server is selected over a full local one only if its expected wait,
+// times the factor and plus the constant, is still shorter. 20 ms is the wait
+// for two calls in turn at a server of short calls, which any burst causes.
 constexpr double kRemoteFactor = 1.5;
-constexpr double kRemoteMicros = 20'000;
+constexpr double kRemoteExtraMicros = 20'000;
 
 double WeightOf(const ServerView& server) {
   return std::clamp(server.weight, kMinWeight, 1.0);
 }
 
 double LimitOf(const ServerView& server) {
-  return server.limit == 0 ? kUnknownLimit : static_cast<double>(server.limit);
+  return server.limit == 0 ? kAssumedLimit : static_cast<double>(server.limit);
 }
 
-// Full: the next call there waits.
-bool IsLoaded(const ServerView& server) {
+// Whether the next call at `server` would be queued.
+bool IsFull(const ServerView& server) {
   if (server.queued > 0) return true;
   return server.in_flight + 1.0 > LimitOf(server) * WeightOf(server);
 }
 
-// Latency to assume where none was measured: the quickest known one, so that
-// an unknown server is tried, but not before all others.
+// Returns the latency to assume for servers without a known one, in
+// microseconds: the lowest known one, so that such a server is called, but not
+// before all others.
 double DefaultLatency(const std::vector<ServerView>& servers) {
-  Duration quickest{0};
+  Duration lowest{0};
   for (const ServerView& server : servers) {
     if (server.latency <= Duration::zero()) continue;
-    if (quickest == Duration::zero() || server.latency < quickest) {
-      quickest = server.latency;
+    if (lowest == Duration::zero() || server.latency < lowest) {
+      lowest = server.latency;
     }
   }
-  return quickest == Duration::zero() ? 1.0
-                                      : static_cast<double>(quickest.count());
+  return lowest == Duration::zero() ? 1.0 : static_cast<double>(lowest.count());
 }
 
 double ExpectedWait(const ServerView& server, double default_latency) {
@@ -57,48 +57,50 @@
   return calls / LimitOf(server) * latency * server.penalty;
 }
 
-size_t TwoChoices(const std::vector<ServerView>& servers, Indexes among,
-                  std::mt19937_64& random) {
-  if (among.size() == 1) return among.front();
-  std::uniform_int_distribution<size_t> draw_first(0, among.size() - 1);
-  const size_t first_at = draw_first(random);
-  size_t better = among[first_at];
-  among.erase(among.begin() + static_cast<ptrdiff_t>(first_at));
-  std::uniform_int_distribution<size_t> draw_second(0, among.size() - 1);
-  size_t worse = among[draw_second(random)];
+size_t PickBetterOfTwo(const std::vector<ServerView>& servers,
+                       Indexes candidates, std::mt19937_64& random) {
+  if (candidates.size() == 1) return candidates.front();
+  std::uniform_int_distribution<size_t> draw_first(0, candidates.size() - 1);
+  const size_t first_position = draw_first(random);
+  size_t selected = candidates[first_position];
+  candidates.erase(candidates.begin() + static_cast<ptrdiff_t>(first_position));
+  std::uniform_int_distribution<size_t> draw_second(0, candidates.size() - 1);
+  size_t other = candidates[draw_second(random)];
   const double latency = DefaultLatency(servers);
-  if (ExpectedWait(servers[worse], latency) <
-      ExpectedWait(servers[better], latency)) {
-    std::swap(better, worse);
+  if (ExpectedWait(servers[other], latency) <
+      ExpectedWait(servers[selected], latency)) {
+    std::swap(selected, other);
   }
-  // A cold server has nothing in flight and wins each comparison; it takes only
-  // its weight's part of what it wins. As part of the score, a weight of 0.1
-  // would keep it from any call while the others have room.
-  const double part = WeightOf(servers[better]) / WeightOf(servers[worse]);
-  std::bernoulli_distribution takes(std::min(1.0, part));
-  return takes(random) ? better : worse;
+  // A cold server has nothing in flight and wins each comparison, so it accepts
+  // only a fraction of the calls, given by its weight. As a factor on the
+  // expected wait, a weight of 0.1 would keep all calls from it while the
+  // others have free slots.
+  const double acceptance =
+      WeightOf(servers[selected]) / WeightOf(servers[other]);
+  std::bernoulli_distribution accepts(std::min(1.0, acceptance));
+  return accepts(random) ? selected : other;
 }
 
 template <typename Predicate>
-Indexes Where(const std::vector<ServerView>& servers, const Indexes& among,
-              Predicate predicate) {
+Indexes Filter(const std::vector<ServerView>& servers,
+               const Indexes& candidates, Predicate predicate) {
   Indexes found;
-  for (size_t index : among) {
+  for (size_t index : candidates) {
     if (predicate(servers[index])) found.push_back(index);
   }
   return found;
 }
 
-bool HasRoom(const ServerView& server) { return !IsLoaded(server); }
+bool HasFreeSlot(const ServerView& server) { return !IsFull(server); }
 bool IsLocal(const ServerView& server) { return server.local; }
 bool IsRemote(const ServerView& server) { return !server.local; }
-bool IsSound(const ServerView& server) {
+bool IsUsable(const ServerView& server) {
   return !server.ejected && !server.suspect;
 }
-bool HasNoPenalty(const ServerView& server) { return server.penalty <= 1; }
-bool IsTrusted(const ServerView& server) { return !server.suspect; }
+bool IsUnpenalized(const ServerView& server) { return server.penalty <= 1; }
+bool IsNotSuspect(const ServerView& server) { return !server.suspect; }
 
-Indexes NotExcluded(const std::vector<ServerView>& servers) {
+Indexes WithoutExcluded(const std::vector<ServerView>& servers) {
   Indexes found;
   for (size_t index = 0; index < servers.size(); ++index) {
     if (!servers[index].excluded) found.push_back(index);
@@ -106,68 +108,76 @@
   return found;
 }
 
-// `with_room` and those of `all` that are quicker than each of them although
-// they are full: a free slot of a server at a tenth of the speed is worth less
-// than a short wait at another, and would draw all that the others can't take
-// at once.
-Indexes WithQuicker(const std::vector<ServerView>& servers,
-                    const Indexes& with_room, const Indexes& all) {
+// Returns `with_free_slot` and those full servers of `all` whose expected wait
+// is shorter than that of each of them. A free slot of a server at a tenth of
+// the speed is worth less than a short wait at another one, and would attract
+// every call that the others cannot run at once.
+Indexes AddFasterFullServers(const std::vector<ServerView>& servers,
+                             const Indexes& with_free_slot,
+                             const Indexes& all) {
   const double latency = DefaultLatency(servers);
-  double best = ExpectedWait(servers[with_room.front()], latency);
-  for (const size_t index : with_room) {
-    best = std::min(best, ExpectedWait(servers[index], latency));
+  double shortest_wait = ExpectedWait(servers[with_free_slot.front()], latency);
+  for (const size_t index : with_free_slot) {
+    shortest_wait =
+        std::min(shortest_wait, ExpectedWait(servers[index], latency));
   }
-  Indexes chosen = with_room;
+  Indexes chosen = with_free_slot;
   for (const size_t index : all) {
-    if (HasRoom(servers[index])) continue;
-    const bool quicker = ExpectedWait(servers[index], latency) < best;
-    if (quicker) chosen.push_back(index);
+    if (HasFreeSlot(servers[index])) continue;
+    const bool is_faster =
+        ExpectedWait(servers[index], latency) < shortest_wait;
+    if (is_faster) chosen.push_back(index);
   }
   return chosen;
 }
 
-// Where a service is used as a whole. Keeping calls at home would make them
-// wait for their own servers: a slow one's queue grows without end beside a
-// quick one's that is short, as servers differ more than callers. But a call to
-// another data centre costs its bytes, which are dear, and load reports are as
-// old as the last answer: the way there must be worth it.
-size_t NearOrQuicker(const std::vector<ServerView>& servers,
-                     const Indexes& local, const Indexes& remote,
-                     std::mt19937_64& random) {
-  const size_t near = TwoChoices(servers, local, random);
-  if (remote.empty()) return near;
-  const size_t far = TwoChoices(servers, remote, random);
+// Selects a server when the spill is unlimited and all local servers are full.
+// Local servers alone are not enough: as servers differ more than callers do,
+// the queue of a slow local server would grow without bound next to the short
+// queue of a fast remote one. A remote server must be clearly better, as
+// traffic between data centres is expensive and load reports are as old as the
+// last answer.
+size_t PickLocalOrFasterRemote(const std::vector<ServerView>& servers,
+                               const Indexes& local, const Indexes& remote,
+                               std::mt19937_64& random) {
+  const size_t local_pick = PickBetterOfTwo(servers, local, random);
+  if (remote.empty()) return local_pick;
+  const size_t remote_pick = PickBetterOfTwo(servers, remote, random);
   const double latency = DefaultLatency(servers);
-  const double far_wait =
-      ExpectedWait(servers[far], latency) * kRemoteFactor + kRemoteMicros;
-  return far_wait < ExpectedWait(servers[near], latency) ? far : near;
+  const double remote_wait =
+      ExpectedWait(servers[remote_pick], latency) * kRemoteFactor +
+      kRemoteExtraMicros;
+  return remote_wait < ExpectedWait(servers[local_pick], latency) ? remote_pick
+                                                                  : local_pick;
 }
 
 size_t PickLocalFirst(const std::vector<ServerView>& servers,
                       const Indexes& usable, const PickOptions& options,
                       std::mt19937_64& random) {
-  const Indexes local = Where(servers, usable, IsLocal);
-  const Indexes remote = Where(servers, usable, IsRemote);
+  const Indexes local = Filter(servers, usable, IsLocal);
+  const Indexes remote = Filter(servers, usable, IsRemote);
   if (local.empty()) {
-    const Indexes with_room = Where(servers, remote, HasRoom);
-    return TwoChoices(servers, with_room.empty() ? remote : with_room, random);
+    const Indexes with_free_slot = Filter(servers, remote, HasFreeSlot);
+    return PickBetterOfTwo(
+        servers, with_free_slot.empty() ? remote : with_free_slot, random);
   }
-  Indexes local_room = Where(servers, local, HasRoom);
-  // Of two drawn ones both may be bad, so a penalty alone would not do.
-  const Indexes unpenalised = Where(servers, local_room, HasNoPenalty);
-  if (!unpenalised.empty()) local_room = unpenalised;
-  if (!local_room.empty()) {
-    return TwoChoices(servers, WithQuicker(servers, local_room, local), random);
+  Indexes local_free = Filter(servers, local, HasFreeSlot);
+  // A penalty alone is not enough: both drawn servers may have one.
+  const Indexes unpenalized = Filter(servers, local_free, IsUnpenalized);
+  if (!unpenalized.empty()) local_free = unpenalized;
+  if (!local_free.empty()) {
+    return PickBetterOfTwo(
+        servers, AddFasterFullServers(servers, local_free, local), random);
   }
   if (options.spill_share >= 1.0) {
-    return NearOrQuicker(servers, local, remote, random);
+    return PickLocalOrFasterRemote(servers, local, remote, random);
   }
-  const Indexes remote_room = Where(servers, remote, HasRoom);
+  const Indexes remote_free = Filter(servers, remote, HasFreeSlot);
   std::bernoulli_distribution spill(std::clamp(options.spill_share, 0.0, 1.0));
-  if (!remote_room.empty() && spill(random)) {
-    return TwoChoices(servers, remote_room, random);
+  if (!remote_free.empty() && spill(random)) {
+    return PickBetterOfTwo(servers, remote_free, random);
   }
-  return TwoChoices(servers, local, random);
+  return PickBetterOfTwo(servers, local, random);
 }
 
 }  // namespace
@@ -175,13 +185,13 @@
 std::optional<size_t> PickServer(const std::vector<ServerView>& servers,
                                  const PickOptions& options,
                                  std::mt19937_64& random) {
-  const Indexes open = NotExcluded(servers);
-  if (open.empty()) return std::nullopt;
-  const Indexes sound = Where(servers, open, IsSound);
-  if (!sound.empty()) return PickLocalFirst(servers, sound, options, random);
-  const Indexes trusted = Where(servers, open, IsTrusted);
-  return PickLocalFirst(servers, trusted.empty() ? open : trusted, options,
-                        random);
+  const Indexes available = WithoutExcluded(servers);
+  if (available.empty()) return std::nullopt;
+  const Indexes usable = Filter(servers, available, IsUsable);
+  if (!usable.empty()) return PickLocalFirst(servers, usable, options, random);
+  const Indexes not_suspect = Filter(servers, available, IsNotSuspect);
+  return PickLocalFirst(servers, not_suspect.empty() ? available : not_suspect,
+                        options, random);
 }
 
 }  // namespace amaranth
--- a/src/libpolicy/server_picker_test.cc
+++ b/src/libpolicy/server_picker_test.cc
@@ -30,7 +30,7 @@
       rc::gen::set(&ServerView::weight, rc::gen::element(0.0, 0.1, 0.5, 1.0)));
 }
 
-// Share of the picks that leave the data centre.
+// Returns the fraction of picks that are remote.
 double RemoteShare(const std::vector<ServerView>& servers) {
   constexpr int kPicks = 10000;
   std::mt19937_64 random(1);
@@ -46,7 +46,7 @@
 
 TEST_GROUP(ServerPickerTest){};
 
-TEST(ServerPickerTest, OnlyTriedServersAreNeverPicked) {
+TEST(ServerPickerTest, PicksAServerUnlessAllAreExcluded) {
   CHECK(rc::check([] {
     const std::vector<ServerView> servers =
         *rc::gen::container<std::vector<ServerView>>(AnyServer());
@@ -63,7 +63,7 @@
     if (!picked) return;
     const ServerView& server = servers[*picked];
     RC_ASSERT(!server.excluded);
-    // What is suspected or ejected is the last resort.
+    // Suspect and ejected servers are the last resort.
     if (server.suspect) {
       RC_ASSERT(!any([](const auto& other) { return !other.suspect; }));
     }
@@ -74,7 +74,7 @@
   }));
 }
 
-TEST(ServerPickerTest, LocalFirstThenACappedSpill) {
+TEST(ServerPickerTest, PrefersLocalServersAndCapsTheSpill) {
   const ServerView free_local = MakeServer(3, true);
   const ServerView full_local = MakeServer(12, true);
   const ServerView free_remote = MakeServer(0, false);
@@ -88,67 +88,69 @@
   CHECK(RemoteShare({ejected, free_remote}) == 1.0);
 }
 
-// Callers see a server that has just announced itself flooded by every entry
-// node at once, because it has nothing in flight, and slow with cold caches.
-TEST(ServerPickerTest, ColdServerTakesItsPartOnly) {
+// Guards against a server that has just announced itself and is flooded by all
+// entry nodes at once, since it has nothing in flight, while its caches are
+// cold.
+TEST(ServerPickerTest, ColdServerGetsAShareByItsWeight) {
   std::vector<ServerView> servers(3, MakeServer(5, true));
   servers[2].in_flight = 0;
   servers[2].weight = 0.1;
   std::mt19937_64 random(1);
-  int cold = 0;
+  int cold_picks = 0;
   for (int pick = 0; pick < 10000; ++pick) {
-    if (PickServer(servers, PickOptions{}, random) == 2u) ++cold;
+    if (PickServer(servers, PickOptions{}, random) == 2u) ++cold_picks;
   }
-  CHECK(cold > 500);  // a tenth of the pairs that it is in
-  CHECK(cold < 850);
+  CHECK(cold_picks > 500);  // a tenth of the pairs it is in
+  CHECK(cold_picks < 850);
 }
 
-// Callers see a third of their requests slow, though two of three servers are
-// quick: the slow one holds its calls longer, and round robin sends it as many.
+// Guards against a slow server that gets the same share as two fast ones, as
+// with round robin, which makes a third of all requests slow.
 TEST(ServerPickerTest, SlowServerGetsFewerCalls) {
   std::vector<ServerView> servers(3, MakeServer(0, true));
   for (ServerView& server : servers) server.limit = 100;
   servers[2].latency = milliseconds(30);
   std::mt19937_64 random(1);
   std::vector<int> picks(3, 0);
-  using Ending = std::pair<int, size_t>;
-  std::priority_queue<Ending, std::vector<Ending>, std::greater<>> endings;
-  for (int now = 0; now < 30000; ++now) {  // three calls a millisecond
-    while (!endings.empty() && endings.top().first <= now) {
-      --servers[endings.top().second].in_flight;
-      endings.pop();
+  using Completion = std::pair<int, size_t>;
+  std::priority_queue<Completion, std::vector<Completion>, std::greater<>>
+      completions;
+  for (int now = 0; now < 30000; ++now) {  // steps of 1/3 ms, one call each
+    while (!completions.empty() && completions.top().first <= now) {
+      --servers[completions.top().second].in_flight;
+      completions.pop();
     }
     const size_t index = PickServer(servers, PickOptions{}, random).value();
     ++picks[index];
     ++servers[index].in_flight;
-    endings.emplace(now + (index == 2 ? 90 : 30), index);
+    completions.emplace(now + (index == 2 ? 90 : 30), index);
   }
   CHECK(picks[2] < 30000 / 5);
-  CHECK(picks[2] > 30000 / 20);  // still measured
+  CHECK(picks[2] > 30000 / 20);  // enough to keep its latency known
   CHECK(std::abs(picks[0] - picks[1]) < 30000 / 50);
 }
 
-// Callers of the data centre with the slow server get most of the failures: all
-// servers are full, each data centre keeps its calls, and the slow one has the
-// same share of them as one twice as quick. Full servers are compared instead.
-TEST(ServerPickerTest, FullServersOfAllDataCentresAreComparedByTheirWait) {
+// Guards against most failures falling on the data centre with the slow server:
+// if all servers are full and each data centre keeps its calls, the slow server
+// gets the same share of them as a fast one.
+TEST(ServerPickerTest, ComparesFullServersOfAllDataCentresByExpectedWait) {
   ServerView slow;
   slow.limit = 15;
   slow.in_flight = 15;
   slow.queued = 100;
   slow.latency = std::chrono::milliseconds(200);
-  ServerView quick = slow;
-  quick.local = false;
-  quick.queued = 1;
-  quick.latency = std::chrono::milliseconds(40);
+  ServerView fast = slow;
+  fast.local = false;
+  fast.queued = 1;
+  fast.latency = std::chrono::milliseconds(40);
   PickOptions options;
   options.spill_share = 1.0;
-  std::mt19937_64 draw(1);
-  int quick_picked = 0;
+  std::mt19937_64 random(1);
+  int fast_picked = 0;
   for (int i = 0; i < 100; ++i) {
-    if (*PickServer({slow, quick}, options, draw) == 1) ++quick_picked;
+    if (*PickServer({slow, fast}, options, random) == 1) ++fast_picked;
   }
-  CHECK_EQUAL(100, quick_picked);
+  CHECK_EQUAL(100, fast_picked);
 }
 
 }  // namespace amaranth
