--- a/src/libpolicy/outlier.cc
+++ b/src/libpolicy/outlier.cc
@@ -10,9 +10,9 @@
 namespace amaranth {
 namespace {
 
-// Servers that gave no result for this long, or so few that decay left nothing,
-// are forgotten: names that come and go must not fill the memory.
-constexpr size_t kMostServers = 1024;
+// Maximum number of servers with results. Results of further servers are
+// ignored: names that come and go must not exhaust the memory.
+constexpr size_t kMaxServers = 1024;
 
 double Median(std::vector<double> values) {
   const auto middle =
@@ -27,18 +27,18 @@
 
 void OutlierDetector::OnResult(const std::string& server, Duration latency,
                                bool failed, TimePoint now) {
-  last_now_ = std::max(last_now_, now);
-  if (servers_.size() >= kMostServers && servers_.count(server) == 0) return;
+  latest_time_ = std::max(latest_time_, now);
+  if (servers_.size() >= kMaxServers && servers_.count(server) == 0) return;
   const auto found = servers_.try_emplace(server).first;
   Server& state = found->second;
   Decay(state, now);
   state.results += 1;
   if (failed) {
     state.failures += 1;
-    ++state.failed_in_row;
+    ++state.consecutive_failures;
   } else {
     state.successes += 1;
-    state.failed_in_row = 0;
+    state.consecutive_failures = 0;
     state.latency_sum += static_cast<double>(latency.count());
   }
   // Late results of calls sent before the ejection must not prolong it.
@@ -68,32 +68,32 @@
 
 void OutlierDetector::SetMaxShare(double share) {
   options_.max_share = std::clamp(share, 0.0, 1.0);
-  KeepCap();
+  EnforceCap();
 }
 
 void OutlierDetector::Forget(const std::string& server) {
   servers_.erase(server);
-  KeepCap();
+  EnforceCap();
 }
 
 void OutlierDetector::Decay(Server& server, TimePoint now) const {
   const double elapsed = static_cast<double>((now - server.updated).count());
   const double half_life = static_cast<double>(options_.half_life.count());
-  const double kept = elapsed <= 0 ? 1.0 : std::exp2(-elapsed / half_life);
-  server.results *= kept;
-  server.failures *= kept;
-  server.successes *= kept;
-  server.latency_sum *= kept;
+  const double retained = elapsed <= 0 ? 1.0 : std::exp2(-elapsed / half_life);
+  server.results *= retained;
+  server.failures *= retained;
+  server.successes *= retained;
+  server.latency_sum *= retained;
   server.updated = std::max(server.updated, now);
 }
 
 bool OutlierDetector::IsOutlier(const std::string& name,
                                 const Server& server) const {
-  if (server.failed_in_row >= options_.failures_in_row) {
+  if (server.consecutive_failures >= options_.consecutive_failures) {
     return FailsMoreThanPeers(name, server);
   }
   if (server.results < options_.min_results) return false;
-  return FailsMoreThanPeers(name, server) || SlowerThanPeers(name, server);
+  return FailsMoreThanPeers(name, server) || IsSlowerThanPeers(name, server);
 }
 
 bool OutlierDetector::FailsMoreThanPeers(const std::string& name,
@@ -109,8 +109,8 @@
   return share >= Median(peers) + options_.failure_excess;
 }
 
-bool OutlierDetector::SlowerThanPeers(const std::string& name,
-                                      const Server& server) const {
+bool OutlierDetector::IsSlowerThanPeers(const std::string& name,
+                                        const Server& server) const {
   if (server.successes < options_.min_results) return false;
   std::vector<double> peers;
   for (const auto& [peer_name, peer] : servers_) {
@@ -131,32 +131,33 @@
 
 void OutlierDetector::Eject(Server& server, TimePoint now) {
   if (server.ejections > 0 &&
-      now - server.ejected_until >= options_.forgiven_after) {
+      now - server.ejected_until >= options_.reset_after) {
     server.ejections = 0;
   }
-  Duration length = options_.first_ejection;
+  Duration length = options_.initial_ejection;
   for (int i = 0; i < server.ejections; ++i) {
-    length = std::min(length * 2, options_.longest_ejection);
+    length = std::min(length * 2, options_.max_ejection);
   }
   ++server.ejections;
   server.last_ejected = now;
   server.ejected_until = now + length;
-  // What it did before must not eject it again on its first call afterwards.
-  server.failed_in_row = 0;
+  // Results from before the ejection must not eject the server again on its
+  // first call afterwards.
+  server.consecutive_failures = 0;
   server.results = server.failures = 0;
   server.successes = server.latency_sum = 0;
 }
 
-void OutlierDetector::KeepCap() {
-  while (EjectedCount(last_now_) > Cap()) {
-    Server* oldest = nullptr;
+void OutlierDetector::EnforceCap() {
+  while (EjectedCount(latest_time_) > Cap()) {
+    Server* earliest = nullptr;
     for (auto& [name, server] : servers_) {
-      if (last_now_ >= server.ejected_until) continue;
-      if (oldest == nullptr || server.last_ejected < oldest->last_ejected) {
-        oldest = &server;
+      if (latest_time_ >= server.ejected_until) continue;
+      if (earliest == nullptr || server.last_ejected < earliest->last_ejected) {
+        earliest = &server;
       }
     }
-    oldest->ejected_until = last_now_;
+    earliest->ejected_until = latest_time_;
   }
 }
 
--- a/src/libpolicy/outlier_test.cc
+++ b/src/libpolicy/outlier_test.cc
@@ -11,10 +11,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Every server gets a call each 10 ms; `failing` fails at once, `slow` takes
-// 200 ms. Calls go on to ejected servers only as the last resort, so not here.
-void Play(OutlierDetector& detector, int servers, int failing, int slow,
-          TimePoint from, Duration length) {
+// Calls each server that is not ejected every 10 ms; server `failing` fails at
+// once and server `slow` takes 200 ms.
+void RunCalls(OutlierDetector& detector, int servers, int failing, int slow,
+              TimePoint from, Duration length) {
   for (TimePoint now = from; now < from + length; now += milliseconds(10)) {
     for (int server = 0; server < servers; ++server) {
       const std::string name = std::to_string(server);
@@ -26,22 +26,23 @@
   }
 }
 
-constexpr int kNone = -1;
+constexpr int kNoServer = -1;
 
 }  // namespace
 
 TEST_GROUP(OutlierTest){};
 
-TEST(OutlierTest, FailingAndSlowServersAreEjected) {
+TEST(OutlierTest, EjectsFailingAndSlowServers) {
   OutlierDetector detector;
-  Play(detector, 5, 1, 3, TimePoint{}, seconds(1));
+  RunCalls(detector, 5, 1, 3, TimePoint{}, seconds(1));
   const TimePoint now = TimePoint{} + seconds(1);
   CHECK(detector.Ejected("1", now));
   CHECK(detector.Ejected("3", now));
   CHECK_EQUAL(2u, detector.EjectedCount(now));
 }
 
-TEST(OutlierTest, RarelyCalledServerIsEjectedToo) {
+// Guards against a failing server whose few results decay before they suffice.
+TEST(OutlierTest, EjectsARarelyCalledServer) {
   OutlierDetector detector;
   TimePoint now{};
   for (int call = 0; call < 8; ++call) {
@@ -53,9 +54,9 @@
   CHECK(!detector.Ejected("good", now));
 }
 
-// Callers see a whole service refused: all its servers fail because of a
-// service below, and ejecting half of them doubles the load of the others.
-TEST(OutlierTest, CommonCauseEjectsNone) {
+// Guards against ejections that double the load of the other servers when all
+// servers of a service fail because of a nested call's service.
+TEST(OutlierTest, EjectsNoServerForACommonCause) {
   OutlierDetector detector;
   for (int call = 0; call < 1000; ++call) {
     const TimePoint now = TimePoint{} + milliseconds(call);
@@ -65,13 +66,13 @@
   }
 }
 
-TEST(OutlierTest, EjectionsGrowButEnd) {
+TEST(OutlierTest, EjectionsBecomeLongerUpToABound) {
   OutlierDetector detector;
   TimePoint now{};
   Duration longest{0};
   for (int round = 0; round < 8; ++round) {
     const TimePoint begin = now;
-    Play(detector, 3, 0, kNone, now, milliseconds(200));
+    RunCalls(detector, 3, 0, kNoServer, now, milliseconds(200));
     now += milliseconds(200);
     CHECK(detector.Ejected("0", now));
     while (detector.Ejected("0", now)) now += milliseconds(100);
@@ -80,15 +81,15 @@
     CHECK(longest <= seconds(31));
   }
   CHECK(longest >= seconds(30));
-  // Back, it is ramped up and stays if it is well.
+  // Afterwards its weight is ramped up, and it is not ejected while healthy.
   CHECK(detector.Weight("0", now) < 0.2);
-  Play(detector, 3, kNone, kNone, now, seconds(3));
+  RunCalls(detector, 3, kNoServer, kNoServer, now, seconds(3));
   now += seconds(3);
   CHECK(!detector.Ejected("0", now));
   CHECK(detector.Weight("0", now) == 1.0);
 }
 
-TEST(OutlierTest, EjectedShareNeverAboveCap) {
+TEST(OutlierTest, EjectedShareStaysWithinTheCap) {
   CHECK(rc::check([] {
     OutlierDetector detector;
     double share = OutlierOptions{}.max_share;
@@ -115,7 +116,7 @@
   }));
 }
 
-TEST(OutlierTest, SlowStartIsARampWithAFloor) {
+TEST(OutlierTest, SlowStartRampsUpFromAMinimumWeight) {
   const TimePoint start = TimePoint{} + seconds(5);
   CHECK(SlowStartWeight(start, start, seconds(10)) == kMinSlowStartWeight);
   CHECK(SlowStartWeight(start, start + seconds(5), seconds(10)) == 0.5);
