--- a/src/libpolicy/progress_watch_test.cc
+++ b/src/libpolicy/progress_watch_test.cc
@@ -15,9 +15,9 @@
 
 TEST_GROUP(ProgressWatchTest){};
 
-// Callers see calls to one host hang until their deadlines. Something on the
-// way forgot the open connection: writes succeed and nothing ever comes back.
-TEST(ProgressWatchTest, SilentLinkIsProbedThenDropped) {
+// Guards against calls that hang until their deadlines on a connection whose
+// state a middlebox has dropped: writes succeed and nothing is ever received.
+TEST(ProgressWatchTest, ProbesThenDropsAnUnresponsiveLink) {
   ProgressWatch watch;
   watch.OnSent(At(0));
   CHECK(watch.Check(At(249), true) == Action::kNone);
@@ -25,13 +25,13 @@
   CHECK(watch.Check(At(250), true) == Action::kProbe);
   CHECK(watch.next_check(true) == At(400));
   CHECK(watch.Check(At(400), true) == Action::kDoubt);
-  watch.OnSent(At(900));  // more calls on it do not prolong its life
+  watch.OnSent(At(900));  // later sends do not delay the drop
   CHECK(watch.Check(At(1000), true) == Action::kNone);
   CHECK(watch.next_check(true) == At(2000));
   CHECK(watch.Check(At(2000), true) == Action::kDrop);
 }
 
-TEST(ProgressWatchTest, LongWorkOnALivingLinkIsLeftAlone) {
+TEST(ProgressWatchTest, KeepsAResponsiveLinkDuringLongWork) {
   ProgressWatch watch;
   watch.OnSent(At(0));
   int probes = 0;
@@ -47,7 +47,7 @@
   CHECK(probes >= 90);
 }
 
-TEST(ProgressWatchTest, IdleLinkIsNotSilent) {
+TEST(ProgressWatchTest, IdleLinkIsNotUnresponsive) {
   ProgressWatch watch;
   watch.OnSent(At(0));
   watch.OnReceived(At(5));
@@ -58,13 +58,13 @@
   CHECK(watch.Check(At(60251), true) == Action::kProbe);
 }
 
-TEST(ProgressWatchTest, AttemptTimeoutFollowsTheLatency) {
+TEST(ProgressWatchTest, AttemptTimeoutIsAMultipleOfTheLatency) {
   CHECK(AttemptTimeout(Duration(0), seconds(9)) == seconds(9));
   CHECK(AttemptTimeout(milliseconds(5), seconds(9)) == kMinAttemptTimeout);
   CHECK(AttemptTimeout(milliseconds(300), seconds(9)) == seconds(3));
   CHECK(AttemptTimeout(milliseconds(300), seconds(2)) == seconds(2));
-  // Fed back as latencies, timeouts reach a service that became 20 times
-  // slower within a few tries.
+  // With timeouts recorded as latencies, the timeout exceeds the latency of a
+  // service that became 20 times slower within a few attempts.
   Duration latency = milliseconds(100);
   for (int attempt = 0; attempt < 5; ++attempt) {
     const Duration timeout = AttemptTimeout(latency, seconds(60));
