--- a/src/include/amaranthroute/policy/retry_after.h
+++ b/src/include/amaranthroute/policy/retry_after.h
@@ -1,12 +1,12 @@
 #ifndef AMARANTHROUTE_POLICY_RETRY_AFTER_H_
 #define AMARANTHROUTE_POLICY_RETRY_AFTER_H_
 
-/// When a caller that was turned away should come back.
+/// Computes when a caller whose request was refused should resend it.
 ///
-/// Load pattern: a surge is shed and all its callers come back together. A
-/// fixed time sends the same surge again, in step; no time at all makes hard
-/// retries the clients' default. The time is what the backlog needs to drain
-/// at the measured rate, spread over as long again.
+/// Load pattern: a surge is shed and all its callers resend together. A fixed
+/// delay repeats the same surge in step; without a delay clients default to
+/// immediate resends. The delay is the time in which the backlog drains at the
+/// measured rate, with jitter of up to the same time again.
 
 #include <cstddef>
 #include <random>
@@ -16,40 +16,44 @@
 
 namespace amaranth {
 
-/// Never less: a client's round trip must not become the retry interval.
+/// Minimum delay: otherwise a client's round trip becomes its resend interval.
 inline constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
-/// Never more: nobody waits longer, and a stalled meter must not say "never".
+/// Maximum delay: no client waits longer, and a measured rate near zero must
+/// not give an unbounded delay.
 inline constexpr Duration kMaxRetryAfter = std::chrono::seconds(30);
 
-/// Time for `backlog` calls to drain at `drained_per_second`, with a random
-/// factor of 1 to 2; within kMinRetryAfter and kMaxRetryAfter. With a rate of
-/// zero (nothing measured) about a second.
+/// Returns the time for `backlog` calls to drain at `drained_per_second`, times
+/// a random factor of 1 to 2; from kMinRetryAfter to kMaxRetryAfter. With a
+/// rate of zero (nothing measured), returns 1 to 2 seconds.
 Duration RetryAfter(size_t backlog, double drained_per_second,
                     std::mt19937_64& random);
 
-/// When a caller that was turned away at once should come back while its answer
-/// is still worth its full value.
+/// Returns when a caller whose request was refused early should resend it so
+/// that the answer still meets the latency `target`.
 ///
-/// Load pattern: an overload of seconds in which a part of the requests is let
-/// in, drawn anew at each sending. Told to come back after the second that an
-/// overload may take, a caller that is then served is served late; told a part
-/// of what is left of the `target` for its latency, as many are served and most
-/// in time. Spread over a quarter of it, so that a burst does not come back as
-/// one.
-Duration RetryWithinTarget(Duration target, Duration held,
+/// Load pattern: an overload of a few seconds in which a fraction of the
+/// requests is admitted, with a new random draw for each resend. With a delay
+/// of a second, the duration of a typical overload, a caller that is then
+/// admitted gets its answer too late. With a fraction of the time left of the
+/// target (`target` less `elapsed`), as many are admitted and most get their
+/// answer in time. The delay is random within a quarter of the time left, so
+/// that a burst is not resent as a burst. Never less than 20 ms.
+Duration RetryWithinTarget(Duration target, Duration elapsed,
                            std::mt19937_64& random);
 
-/// Measures the rate at which calls of a service are done.
+/// Measures the rate at which the calls of a backend server complete.
 class DrainMeter {
  public:
-  /// 2 s smooth a rate of 10 a second to about a quarter.
+  /// Within 2 s a rate of 10 per second is measured with a standard deviation
+  /// of about a quarter.
   static constexpr Duration kWindow = std::chrono::seconds(2);
 
   DrainMeter();
 
-  /// A call was done.
+  /// Records a completed call.
   void OnDone(TimePoint now);
-  /// Calls done per second in the last window (or since the first, if later).
+  /// Returns the calls completed per second in the last window, or since the
+  /// first call if that is later; 0 before the first.
   double PerSecond(TimePoint now) const;
 
  private:
--- a/src/libpolicy/retry_after.cc
+++ b/src/libpolicy/retry_after.cc
@@ -5,16 +5,16 @@
 namespace amaranth {
 namespace {
 
-// With no measured rate: a second is what recovery may take.
-constexpr double kUnknownSeconds = 1.0;
+// Delay without a measured rate: recovery may take a second.
+constexpr double kDefaultSeconds = 1.0;
 
-// Parts of the time left of a caller's target after which it comes back. Under
-// the least the same queue would still stand; over the most too little is left
-// for the work itself.
-constexpr double kLeastPart = 0.1;
-constexpr double kMostPart = 0.35;
-// A few round trips to a caller; sooner would be a busy loop over the network.
-constexpr Duration kSoonest = std::chrono::milliseconds(20);
+// Bounds of the delay, as fractions of the time left of a caller's target.
+// After a shorter delay the same queue would still be standing; after a longer
+// one too little time is left for the work itself.
+constexpr double kMinFraction = 0.1;
+constexpr double kMaxFraction = 0.35;
+// A few round trips to a caller; less would make clients resend in a busy loop.
+constexpr Duration kMinRetryWithinTarget = std::chrono::milliseconds(20);
 
 double Seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
@@ -22,12 +22,12 @@
 
 Duration RetryAfter(size_t backlog, double drained_per_second,
                     std::mt19937_64& random) {
-  double seconds = kUnknownSeconds;
+  double seconds = kDefaultSeconds;
   if (drained_per_second > 0) {
     seconds = static_cast<double>(backlog) / drained_per_second;
   }
-  // The bound comes before the jitter: clients that are all told the longest
-  // time would otherwise come back in step.
+  // Clamped before the jitter: clients with the maximum delay would otherwise
+  // resend in step.
   seconds =
       std::clamp(seconds, Seconds(kMinRetryAfter), Seconds(kMaxRetryAfter) / 2);
   std::uniform_real_distribution<double> jitter(1.0, 2.0);
@@ -36,12 +36,13 @@
       std::chrono::duration<double>(seconds));
 }
 
-Duration RetryWithinTarget(Duration target, Duration held,
+Duration RetryWithinTarget(Duration target, Duration elapsed,
                            std::mt19937_64& random) {
-  const double left = std::max(0.0, Seconds(target) - Seconds(held));
-  std::uniform_real_distribution<double> part(kLeastPart, kMostPart);
-  const std::chrono::duration<double> wait(left * part(random));
-  return std::max(std::chrono::duration_cast<Duration>(wait), kSoonest);
+  const double left = std::max(0.0, Seconds(target) - Seconds(elapsed));
+  std::uniform_real_distribution<double> fraction(kMinFraction, kMaxFraction);
+  const std::chrono::duration<double> delay(left * fraction(random));
+  return std::max(std::chrono::duration_cast<Duration>(delay),
+                  kMinRetryWithinTarget);
 }
 
 DrainMeter::DrainMeter() : done_(kWindow) {}
@@ -53,7 +54,7 @@
 
 double DrainMeter::PerSecond(TimePoint now) const {
   if (first_ == kNever) return 0;
-  // A tenth of the window at least: one event at one moment is no rate.
+  // At least a tenth of the window: a single call gives no meaningful rate.
   const Duration covered = std::clamp(now - first_, kWindow / 10, kWindow);
   return static_cast<double>(done_.Total(now)) / Seconds(covered);
 }
--- a/src/libpolicy/retry_test.cc
+++ b/src/libpolicy/retry_test.cc
@@ -16,36 +16,36 @@
 
 TEST_GROUP(RetryTest){};
 
-TEST(RetryTest, RetriesStayUnderTheRatio) {
+TEST(RetryTest, RetriesStayWithinTheRatio) {
   CHECK(rc::check([] {
     const double ratio = *rc::gen::element(0.0, 0.1, 0.5);
     RetryBudget budget(ratio, 1.0);
     const double window_seconds = 2;
-    double first_tries = 0;
+    double first_attempts = 0;
     double retries = 0;
     TimePoint now{};
     const int steps = *rc::gen::inRange(1, 1000);
     for (int step = 0; step < steps; ++step) {
       now += Duration(*rc::gen::inRange(0, 50000));
       if (*rc::gen::inRange(0, 4) != 0) {
-        ++first_tries;
+        ++first_attempts;
         budget.OnFirstTry(now);
       }
       if (budget.TryRetry(now)) ++retries;
-      // The time is covered by windows that end at a granted retry and hold at
-      // most the ratio of their first tries, and the least rate for their
-      // length; one is at least 19 of its 20 buckets long.
+      // The elapsed time is covered by windows that end at a granted retry.
+      // Each holds at most the ratio of its first attempts plus the minimum
+      // rate over its length, and covers at least 19 of its 20 buckets.
       const double elapsed =
           std::chrono::duration<double>(now.time_since_epoch()).count();
       const double windows = elapsed / (window_seconds * 19 / 20) + 1;
-      RC_ASSERT(retries <= ratio * first_tries + windows * window_seconds);
+      RC_ASSERT(retries <= ratio * first_attempts + windows * window_seconds);
     }
   }));
 }
 
-// Callers of a service that fails for a while see it fail for longer: retries
-// that went unused in an hour of calm come all at once when it breaks.
-TEST(RetryTest, CalmDoesNotSaveUpRetries) {
+// Guards against a failure that is prolonged by retries that accumulated in an
+// hour without failures and are all spent at once.
+TEST(RetryTest, UnusedRetriesDoNotAccumulate) {
   RetryBudget budget(0.1, 0.0);
   TimePoint now{};
   for (int call = 0; call < 100000; ++call) {
@@ -54,20 +54,20 @@
   }
   int retries = 0;
   while (budget.TryRetry(now)) ++retries;
-  CHECK(retries <= 20);  // 0.1 of the last two seconds
+  CHECK(retries <= 20);  // 0.1 of the first attempts in two seconds
   CHECK(retries >= 18);
   budget.SetRatio(0.5);
   CHECK(budget.TryRetry(now));
 }
 
-TEST(RetryTest, RareRequestsCanRetry) {
+TEST(RetryTest, AServiceWithFewRequestsCanRetry) {
   RetryBudget budget;
   const TimePoint now = TimePoint{} + seconds(100);
   budget.OnFirstTry(now);
   CHECK(budget.TryRetry(now));
 }
 
-TEST(RetryTest, RetryAfterIsBoundedAndSpread) {
+TEST(RetryTest, RetryAfterIsBoundedAndRandom) {
   CHECK(rc::check([] {
     std::mt19937_64 random(*rc::gen::arbitrary<uint64_t>());
     const size_t backlog = *rc::gen::inRange<size_t>(0, 1000000);
@@ -81,12 +81,12 @@
 
 TEST(RetryTest, RetryAfterIsTheDrainTime) {
   std::mt19937_64 random(1);
-  const Duration wait = RetryAfter(600, 200, random);
-  CHECK(wait >= seconds(3));
-  CHECK(wait < seconds(6));
+  const Duration delay = RetryAfter(600, 200, random);
+  CHECK(delay >= seconds(3));
+  CHECK(delay < seconds(6));
 }
 
-TEST(RetryTest, DrainMeterFollowsTheRate) {
+TEST(RetryTest, DrainMeterMeasuresTheRate) {
   DrainMeter meter;
   TimePoint now = TimePoint{} + seconds(1000);
   CHECK(meter.PerSecond(now) == 0);
@@ -98,22 +98,22 @@
   CHECK(meter.PerSecond(now + seconds(3)) == 0);
 }
 
-// Callers are turned away together in a burst; each must come back while it can
-// still be served in time, and not all at one moment.
-TEST(RetryTest, CallersComeBackWithinTheirTargetAndSpreadOut) {
+// Guards against a burst of refused callers that resend too late to get their
+// answer in time, or all at the same moment.
+TEST(RetryTest, RetryWithinTargetIsEarlyEnoughAndRandom) {
   std::mt19937_64 random(3);
   const Duration target = std::chrono::milliseconds(1200);
-  Duration first = target;
-  Duration last{0};
+  Duration shortest = target;
+  Duration longest{0};
   for (int i = 0; i < 1000; ++i) {
-    const Duration wait =
+    const Duration delay =
         RetryWithinTarget(target, std::chrono::milliseconds(200), random);
-    first = std::min(first, wait);
-    last = std::max(last, wait);
+    shortest = std::min(shortest, delay);
+    longest = std::max(longest, delay);
   }
-  CHECK(first >= std::chrono::milliseconds(100));
-  CHECK(last <= std::chrono::milliseconds(350));
-  CHECK(last - first >= std::chrono::milliseconds(200));
+  CHECK(shortest >= std::chrono::milliseconds(100));
+  CHECK(longest <= std::chrono::milliseconds(350));
+  CHECK(longest - shortest >= std::chrono::milliseconds(200));
   CHECK(RetryWithinTarget(target, target * 2, random) > Duration::zero());
 }
 
