--- a/src/libpolicy/fake_node.cc
+++ b/src/libpolicy/fake_node.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kStep = std::chrono::milliseconds(10);
-constexpr double kServiceGain = 0.05;
+constexpr double kServiceTimeWeight = 0.05;
 
 double Seconds(TimePoint t) {
   return std::chrono::duration<double>(t.time_since_epoch()).count();
@@ -29,7 +29,7 @@
       shedder_(options_.shedder),
       long_share_(options_.long_share) {
   for (size_t load = 0; load < loads_.size(); ++load) {
-    PlanArrival(load, TimePoint{});
+    ScheduleArrival(load, TimePoint{});
   }
   events_.push({TimePoint{} + kStep, Kind::kStep, 0});
 }
@@ -39,7 +39,7 @@
     const FakeEvent event = events_.top();
     events_.pop();
     if (event.kind == Kind::kArrival) OnArrival(event.subject, event.at);
-    if (event.kind == Kind::kDone) OnDone(event.subject, event.at);
+    if (event.kind == Kind::kCompletion) OnCompletion(event.subject, event.at);
     if (event.kind == Kind::kStep) OnStep(event.at);
   }
 }
@@ -50,18 +50,18 @@
     if (call.load != load) continue;
     if (call.arrived < At(from) || call.arrived >= At(to)) continue;
     ++tally.offered;
-    if (call.let_in) ++tally.let_in;
+    if (call.admitted) ++tally.let_in;
     if (!call.good) continue;
     ++tally.good;
-    tally.mean_millis += static_cast<double>(call.took.count()) / 1000;
+    tally.mean_millis += static_cast<double>(call.response_time.count()) / 1000;
   }
   if (tally.good > 0) tally.mean_millis /= tally.good;
   return tally;
 }
 
-void FakeNode::PlanArrival(size_t load, TimePoint now) {
+void FakeNode::ScheduleArrival(size_t load, TimePoint now) {
   const double rate = loads_[load].per_second(Seconds(now));
-  if (rate <= 0) {  // look again later
+  if (rate <= 0) {  // check the rate again later
     events_.push({now + kStep, Kind::kArrival, load});
     return;
   }
@@ -72,20 +72,20 @@
 
 void FakeNode::OnArrival(size_t load, TimePoint now) {
   const FakeLoad& from = loads_[load];
-  PlanArrival(load, now);
+  ScheduleArrival(load, now);
   if (from.per_second(Seconds(now)) <= 0) return;
-  const size_t number = calls_.size();
+  const size_t call_id = calls_.size();
   Call call;
   call.load = load;
   call.arrived = now;
   calls_.push_back(call);
-  const uint32_t level = SheddingLevel(from.tier, std::to_string(number));
+  const uint32_t level = SheddingLevel(from.tier, std::to_string(call_id));
   shedder_.OnArrival(level, now);
   if (options_.shed && !shedder_.Admits(level, now)) return;
-  calls_[number].let_in = true;
+  calls_[call_id].admitted = true;
   std::vector<QueuedCall> evicted;
   queue_.Push(
-      {number, from.tier, level, from.caller, from.long_work, now,
+      {call_id, from.tier, level, from.caller, from.long_work, now,
        now + from.deadline, Duration(static_cast<int64_t>(service_micros_))},
       now, evicted);
   FillSlots(now);
@@ -107,8 +107,8 @@
   if (in_flight_ < limit_.limit() && queue_.size() == 0) shedder_.OnIdle(now);
 }
 
-void FakeNode::Start(size_t number, TimePoint now) {
-  Call& call = calls_[number];
+void FakeNode::Start(size_t call_id, TimePoint now) {
+  Call& call = calls_[call_id];
   const FakeLoad& load = loads_[call.load];
   ++in_flight_;
   if (load.long_work) limit_.SetLongInFlight(++long_in_flight_);
@@ -119,21 +119,21 @@
   const double congestion = std::max(1.0, in_flight_ / options_.knee);
   const double micros =
       service(random_) * congestion * options_.slowness(Seconds(now));
-  const Duration took(static_cast<int64_t>(micros) + 1);
-  events_.push({now + took, Kind::kDone, number});
+  const Duration service_time(static_cast<int64_t>(micros) + 1);
+  events_.push({now + service_time, Kind::kCompletion, call_id});
 }
 
-void FakeNode::OnDone(size_t number, TimePoint now) {
-  Call& call = calls_[number];
+void FakeNode::OnCompletion(size_t call_id, TimePoint now) {
+  Call& call = calls_[call_id];
   const FakeLoad& load = loads_[call.load];
   --in_flight_;
   if (load.long_work) limit_.SetLongInFlight(--long_in_flight_);
-  call.took = now - call.arrived;
-  call.good = call.took <= load.deadline;
+  call.response_time = now - call.arrived;
+  call.good = call.response_time <= load.deadline;
   if (!load.long_work) {
     const Duration latency = now - call.started;
-    service_micros_ +=
-        kServiceGain * (static_cast<double>(latency.count()) - service_micros_);
+    service_micros_ += kServiceTimeWeight *
+                       (static_cast<double>(latency.count()) - service_micros_);
     shedder_.OnServiceTime(Duration(static_cast<int64_t>(service_micros_)));
     limit_.OnSample(latency, call.in_flight, false, now);
   }
