--- a/src/libpolicy/fake_node.h
+++ b/src/libpolicy/fake_node.h
@@ -2,7 +2,7 @@
 #define AMARANTHROUTE_LIBPOLICY_FAKE_NODE_H_
 
 // Simulates a serving node and its one backend server in virtual time, for
-// tests: random arrivals pass the shedder, the admission queue and the
+// tests: random arrivals go through the shedder, the admission queue and the
 // concurrency limit on their way to a simulated server.
 
 #include <cstdint>
