--- a/src/libnode/serving/crash_window_test.cc
+++ b/src/libnode/serving/crash_window_test.cc
@@ -10,39 +10,39 @@
   CrashWindow window;
 };
 
-// The caller sees its request broken off; its backend server closed just this
-// one connection and answers the others, so nobody is blamed.
-TEST(CrashWindow, OneBrokenConnectionIsNoCrash) {
+// An answer on another connection shows that the process is running: the reset
+// before it is not a crash. A reset of the only call in flight is one.
+TEST(CrashWindow, AnAnswerAfterAResetIsNoCrash) {
   window.OnReset(1, three, FromMicros(0));
   window.OnAnswered(2);
   window.OnReset(3, {{3, 33}}, FromMicros(10));
-  const std::vector<uint64_t> victims = window.TakeCrash();
-  CHECK_EQUAL(1u, victims.size());
-  CHECK_EQUAL(33u, victims.front());
+  const std::vector<uint64_t> fingerprints = window.TakeCrashedFingerprints();
+  CHECK_EQUAL(1u, fingerprints.size());
+  CHECK_EQUAL(33u, fingerprints.front());
 }
 
-TEST(CrashWindow, AllBrokenIsACrashOfAllInFlight) {
+TEST(CrashWindow, ResetsOfAllCallsInFlightAreACrash) {
   window.OnReset(1, three, FromMicros(0));
   window.OnReset(2, three, FromMicros(1));
-  CHECK(window.TakeCrash().empty());
+  CHECK(window.TakeCrashedFingerprints().empty());
   window.OnReset(3, three, FromMicros(2));
-  CHECK_EQUAL(3u, window.TakeCrash().size());
-  CHECK(window.TakeCrash().empty());
+  CHECK_EQUAL(3u, window.TakeCrashedFingerprints().size());
+  CHECK(window.TakeCrashedFingerprints().empty());
 }
 
-// A process paused in the middle of the resets sees the refused connection of
-// a later dispatch before the remaining resets.
-TEST(CrashWindow, ARefusedConnectionConfirmsTheCrash) {
+// A node that is paused between the resets sees the refused connection of a
+// later dispatch before the remaining resets.
+TEST(CrashWindow, ARefusedConnectionAfterAResetIsACrash) {
   window.OnReset(1, three, FromMicros(0));
-  window.OnRefused();
-  CHECK_EQUAL(3u, window.TakeCrash().size());
+  window.OnConnectionRefused();
+  CHECK_EQUAL(3u, window.TakeCrashedFingerprints().size());
 }
 
-TEST(CrashWindow, AnOldResetIsForgotten) {
+TEST(CrashWindow, AResetExpiresWithItsWindow) {
   window.OnReset(1, three, FromMicros(0));
   window.Expire(FromMicros(2'000'000));
-  window.OnRefused();
-  CHECK(window.TakeCrash().empty());
+  window.OnConnectionRefused();
+  CHECK(window.TakeCrashedFingerprints().empty());
 }
 
 }  // namespace amaranth::pvt
--- a/src/libnode/serving/hop.h
+++ b/src/libnode/serving/hop.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_SERVING_HOP_H_
 #define AMARANTHROUTE_LIBNODE_SERVING_HOP_H_
 
-// One call at its serving node, from arrival to answer.
+// State of one attempt at its serving node, from arrival to answer.
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 
 enum class HopState {
   kQueued,      // in the server's admission queue
-  kSuspect,     // waits to be the only suspect of a crash at its server
+  kSuspect,     // suspected of a crash; waits to run alone at its server
   kDispatched,  // sent to the backend server
 };
 
@@ -31,22 +31,27 @@
   TimePoint deadline{};
   TimePoint dispatched{};
   TimePoint timeout_at = kNever;
-  Duration usual{0};  // time of calls of its kind in the server, by its caller
+  // Typical service time without nested calls of calls of this kind, as told
+  // by the entry node; 0 if unknown.
+  Duration typical_service_time{0};
   HopState state = HopState::kQueued;
-  bool is_suspect = false;  // counted as the server's suspect in flight
+  bool is_suspect = false;  // dispatched as a suspect, alone at its server
   bool cancelled = false;
   CreditLedger ledger;
   uint32_t downstream_threshold = 0;
-  // A nested call was given up on after its own retries: the answer is final,
-  // or each layer above would retry the whole subtree again.
+  // A nested call failed after its own retries. The answer is then final:
+  // otherwise each layer above would retry the whole subtree again.
   bool nested_gave_up = false;
   int nested_calls = 0;
   int nested_in_flight = 0;
-  TimePoint nested_since{};   // while any is in flight
-  Duration nested_time{0};    // spent with any in flight
-  Duration nested_waited{0};  // sum of what they waited
-  // Nested calls that failed, by fingerprint: a repeat by the backend server
-  // is a retry and needs a credit.
+  // Start of the current period with nested calls in flight.
+  TimePoint nested_since{};
+  // Total length of the ended periods with nested calls in flight.
+  Duration nested_time{0};
+  // Sum of the queueing times of the ended nested calls.
+  Duration nested_waited{0};
+  // Verdicts of failed nested calls, by fingerprint. If the backend server
+  // repeats one, that is a retry and needs a retry credit.
   std::map<uint64_t, Verdict> failed_nested;
 
   void BeginNested(TimePoint now) {
@@ -55,18 +60,20 @@
   void EndNested(TimePoint now) {
     if (--nested_in_flight == 0) nested_time += now - nested_since;
   }
-  // What the call waited for a slot, here and for its nested calls. Several
-  // nested calls at once wait together: no longer than they took.
-  Duration Waited(TimePoint now) const {
+  // Returns how long the call waited for a slot, its nested calls included.
+  // Concurrent nested calls wait at the same time, so their sum is limited to
+  // the time with nested calls in flight.
+  Duration WaitTime(TimePoint now) const {
     const bool started = dispatched != TimePoint{};
     const Duration queued = (started ? dispatched : now) - arrived;
     return queued + std::min(nested_waited, nested_time);
   }
-  // Time in the backend server itself. What it waited for services below says
-  // nothing about its own slots: fed to the concurrency limit, the queue of an
-  // overloaded service looks like congestion of every service above it, as
-  // fewer calls there do shorten it, and their limits fall with nothing gained.
-  Duration OwnTime(TimePoint now) const {
+  // Returns the service time without nested calls of a dispatched call. Time
+  // spent in nested calls says nothing about the server's own slots: if the
+  // concurrency limit used it, the queue of an overloaded service would look
+  // like congestion of each service that calls it, because fewer calls there do
+  // shorten that queue, and their limits would fall without any gain.
+  Duration ServiceTime(TimePoint now) const {
     const Duration running =
         nested_in_flight > 0 ? now - nested_since : Duration(0);
     return now - dispatched - nested_time - running;
--- a/src/libnode/serving/left_servers.cc
+++ b/src/libnode/serving/left_servers.cc
@@ -3,32 +3,37 @@
 namespace amaranth::pvt {
 namespace {
 
-// The first announcement of a start. It isn't of a server that has left: such a
-// one has announced itself before.
-bool IsFirst(const ServerStart& start) { return start.sequence == 1; }
+// Returns whether this is the first announcement of a process. A server that
+// has left has announced itself before, so its delayed ones are never the
+// first.
+bool IsFirstAnnouncement(const AnnouncementStamp& stamp) {
+  return stamp.sequence == 1;
+}
 
 }  // namespace
 
-void LeftServers::Add(const std::string& server,
-                      std::optional<uint64_t> started_ms, TimePoint now) {
-  left_.push_back({server, started_ms, now});
-  if (left_.size() > kMaxServers) left_.pop_front();
+void DepartedServers::Add(const std::string& server,
+                          std::optional<uint64_t> started_ms, TimePoint now) {
+  departed_.push_back({server, started_ms, now});
+  if (departed_.size() > kMaxServers) departed_.pop_front();
 }
 
-bool LeftServers::Contains(const std::string& server, const ServerStart& start,
-                           TimePoint now) {
-  for (auto left = left_.begin(); left != left_.end(); ++left) {
-    if (left->server != server) continue;
-    if (left->started_ms == start.started_ms) return true;
-    if (left->started_ms.has_value()) continue;
-    const bool late = now - left->since < kLateAnnouncement && !IsFirst(start);
-    if (late) {
-      left->started_ms = start.started_ms;
+bool DepartedServers::Contains(const std::string& server,
+                               const AnnouncementStamp& stamp, TimePoint now) {
+  for (auto departed = departed_.begin(); departed != departed_.end();
+       ++departed) {
+    if (departed->server != server) continue;
+    if (departed->started_ms == stamp.started_ms) return true;
+    if (departed->started_ms.has_value()) continue;
+    const bool is_delayed = now - departed->since < kMaxAnnouncementDelay &&
+                            !IsFirstAnnouncement(stamp);
+    if (is_delayed) {
+      departed->started_ms = stamp.started_ms;
     } else {
-      // A successor: the one that left announces itself no more.
-      left_.erase(left);
+      // Sent by the successor: the departed server announces itself no more.
+      departed_.erase(departed);
     }
-    return late;
+    return is_delayed;
   }
   return false;
 }
--- a/src/libnode/serving/left_servers.h
+++ b/src/libnode/serving/left_servers.h
@@ -1,9 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_SERVING_LEFT_SERVERS_H_
 #define AMARANTHROUTE_LIBNODE_SERVING_LEFT_SERVERS_H_
 
-// Backend servers that have said they leave. Announcements that say "ready" may
-// still be on their way then; believed, they would bring the server back and
-// calls would reach it after its end.
+// Remembers backend servers that have left. A delayed announcement that says
+// "ready" may arrive after the leave message; if it were accepted, the server
+// would be added again and calls would reach it after it has exited.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,33 +16,35 @@
 
 namespace amaranth::pvt {
 
-class LeftServers {
+class DepartedServers {
  public:
-  // `started_ms` is empty if no announcement of the server has been heard here:
-  // the node was started again while its server was leaving.
+  // Records that `server` has left. `started_ms` is empty if this node never
+  // received an announcement of it: the node restarted while the server was
+  // leaving.
   void Add(const std::string& server, std::optional<uint64_t> started_ms,
            TimePoint now);
 
-  // Whether the sender of this announcement has left. The first late
-  // announcement of a server whose start was not known tells it.
-  bool Contains(const std::string& server, const ServerStart& start,
+  // Returns whether the sender of an announcement has left. If the start time
+  // of the server is unknown, its first delayed announcement supplies it.
+  bool Contains(const std::string& server, const AnnouncementStamp& stamp,
                 TimePoint now);
 
  private:
-  struct Left {
+  struct Departure {
     std::string server;
     std::optional<uint64_t> started_ms;
     TimePoint since;
   };
 
-  // The oldest are forgotten first. Far over what one host sees in the seconds
-  // in which a late announcement may come.
+  // The oldest entries are dropped first. Far more than the servers that leave
+  // one host in the seconds in which a delayed announcement may arrive.
   static constexpr size_t kMaxServers = 256;
-  // Announcements come every second or two and are late by seconds at most; one
-  // that comes later than this is of a server that has started since.
-  static constexpr Duration kLateAnnouncement = std::chrono::seconds(10);
+  // Announcements are sent every second or two and are delayed by seconds at
+  // most. One that arrives later than this was sent by a server that has
+  // started since.
+  static constexpr Duration kMaxAnnouncementDelay = std::chrono::seconds(10);
 
-  std::deque<Left> left_;
+  std::deque<Departure> departed_;
 };
 
 }  // namespace amaranth::pvt
--- a/src/libnode/serving/left_servers_test.cc
+++ b/src/libnode/serving/left_servers_test.cc
@@ -7,48 +7,48 @@
 namespace amaranth::pvt {
 
 // NOLINTNEXTLINE(readability-identifier-naming)
-TEST_GROUP(LeftServersGroup) {
-  LeftServers left;
+TEST_GROUP(DepartedServersGroup) {
+  DepartedServers departed;
   TimePoint now = FromMicros(1'000'000);
 };
 
-TEST(LeftServersGroup, OnlyTheStartThatLeftHasLeft) {
-  left.Add("s", 100, now);
-  CHECK_TRUE(left.Contains("s", {100, 7}, now));
-  CHECK_FALSE(left.Contains("s", {200, 2}, now));
-  CHECK_FALSE(left.Contains("t", {100, 7}, now));
+TEST(DepartedServersGroup, OnlyTheProcessThatLeftIsContained) {
+  departed.Add("s", 100, now);
+  CHECK_TRUE(departed.Contains("s", {100, 7}, now));
+  CHECK_FALSE(departed.Contains("s", {200, 2}, now));
+  CHECK_FALSE(departed.Contains("t", {100, 7}, now));
 }
 
-TEST(LeftServersGroup, ALateAnnouncementTellsAnUnknownStart) {
-  left.Add("s", std::nullopt, now);
-  CHECK_TRUE(left.Contains("s", {100, 7}, now));
+TEST(DepartedServersGroup, ADelayedAnnouncementSuppliesAnUnknownStartTime) {
+  departed.Add("s", std::nullopt, now);
+  CHECK_TRUE(departed.Contains("s", {100, 7}, now));
   now += std::chrono::minutes(1);
-  CHECK_TRUE(left.Contains("s", {100, 9}, now));
-  CHECK_FALSE(left.Contains("s", {200, 2}, now));
+  CHECK_TRUE(departed.Contains("s", {100, 9}, now));
+  CHECK_FALSE(departed.Contains("s", {200, 2}, now));
 }
 
-TEST(LeftServersGroup, ASuccessorOfAnUnknownStartIsNotHeldToHaveLeft) {
-  left.Add("s", std::nullopt, now);
-  CHECK_FALSE(left.Contains("s", {200, 1}, now));
-  CHECK_FALSE(left.Contains("s", {200, 2}, now));
-  left.Add("u", std::nullopt, now);
+TEST(DepartedServersGroup, ASuccessorOfAnUnknownStartTimeIsNotContained) {
+  departed.Add("s", std::nullopt, now);
+  CHECK_FALSE(departed.Contains("s", {200, 1}, now));
+  CHECK_FALSE(departed.Contains("s", {200, 2}, now));
+  departed.Add("u", std::nullopt, now);
   now += std::chrono::seconds(30);
-  CHECK_FALSE(left.Contains("u", {300, 4}, now));
+  CHECK_FALSE(departed.Contains("u", {300, 4}, now));
 }
 
-TEST(LeftServersGroup, AServerThatTellsNoStartMayComeBack) {
-  left.Add("s", std::nullopt, now);
-  CHECK_FALSE(left.Contains("s", {0, 1}, now));
-  CHECK_FALSE(left.Contains("s", {0, 2}, now));
+TEST(DepartedServersGroup, AServerWithoutAStartTimeMayReturn) {
+  departed.Add("s", std::nullopt, now);
+  CHECK_FALSE(departed.Contains("s", {0, 1}, now));
+  CHECK_FALSE(departed.Contains("s", {0, 2}, now));
 }
 
-TEST(LeftServersGroup, TheOldestAreForgottenFirst) {
-  left.Add("zoe", 100, now);
-  for (int i = 0; i < 255; ++i) left.Add("s" + std::to_string(i), 100, now);
-  CHECK_TRUE(left.Contains("zoe", {100, 7}, now));
-  left.Add("last", 100, now);
-  CHECK_FALSE(left.Contains("zoe", {100, 7}, now));
-  CHECK_TRUE(left.Contains("s0", {100, 7}, now));
+TEST(DepartedServersGroup, TheOldestEntriesAreDroppedFirst) {
+  departed.Add("zoe", 100, now);
+  for (int i = 0; i < 255; ++i) departed.Add("s" + std::to_string(i), 100, now);
+  CHECK_TRUE(departed.Contains("zoe", {100, 7}, now));
+  departed.Add("last", 100, now);
+  CHECK_FALSE(departed.Contains("zoe", {100, 7}, now));
+  CHECK_TRUE(departed.Contains("s0", {100, 7}, now));
 }
 
 }  // namespace amaranth::pvt
--- a/src/libnode/serving/load_window.h
+++ b/src/libnode/serving/load_window.h
@@ -1,10 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_SERVING_LOAD_WINDOW_H_
 #define AMARANTHROUTE_LIBNODE_SERVING_LOAD_WINDOW_H_
 
-// What one backend server did in the last second, for the line that its node
-// logs while calls wait for it. A service that is short looks the same from
-// its callers whether its slots stand idle, are all held, or are held for
-// longer than usual; these figures tell which.
+// Load of one backend server over the last second, for its metrics and for the
+// line that its node logs while calls wait for it. To its callers, an
+// overloaded service looks the same whether its slots are idle, all taken, or
+// taken for longer than typical; these figures distinguish the cases.
 
 #include <cstdint>
 
@@ -12,16 +12,16 @@
 
 namespace amaranth::pvt {
 
-// How often a server's load is told.
-inline constexpr Duration kLoadPeriod = std::chrono::seconds(1);
+// Interval between two load reports of a server.
+inline constexpr Duration kLoadReportPeriod = std::chrono::seconds(1);
 
 class LoadWindow {
  public:
   struct Summary {
     uint64_t ended = 0;
-    Duration mean_own_time{0};  // in the server itself
-    double mean_in_flight = 0;  // as calls were started
-    Duration longest_wait{0};   // of a call for a slot
+    Duration mean_service_time{0};  // service time without nested calls
+    double mean_in_flight = 0;      // sampled at each start of a call
+    Duration longest_wait{0};       // of a started call, for its slot
   };
 
   void OnStarted(Duration waited, int in_flight) {
@@ -29,23 +29,24 @@
     in_flight_ += static_cast<uint64_t>(in_flight);
     if (waited > longest_wait_) longest_wait_ = waited;
   }
-  void OnEnded(Duration own_time) {
+  void OnEnded(Duration service_time) {
     ++ended_;
-    own_time_ += own_time;
+    service_time_ += service_time;
   }
 
-  // The figures since the last time, if kLoadPeriod has passed.
+  // If kLoadReportPeriod has passed since the previous summary, fills `summary`
+  // with the calls since then, starts a new period and returns true.
   bool TakeDue(TimePoint now, Summary& summary) {
     if (now < due_) return false;
     summary.ended = ended_;
-    if (ended_ > 0) summary.mean_own_time = own_time_ / ended_;
+    if (ended_ > 0) summary.mean_service_time = service_time_ / ended_;
     if (started_ > 0) {
       summary.mean_in_flight =
           static_cast<double>(in_flight_) / static_cast<double>(started_);
     }
     summary.longest_wait = longest_wait_;
     *this = LoadWindow();
-    due_ = now + kLoadPeriod;
+    due_ = now + kLoadReportPeriod;
     return true;
   }
 
@@ -53,8 +54,8 @@
   TimePoint due_{};
   uint64_t started_ = 0;
   uint64_t ended_ = 0;
-  uint64_t in_flight_ = 0;  // sum over starts
-  Duration own_time_{0};
+  uint64_t in_flight_ = 0;  // sum of the samples
+  Duration service_time_{0};
   Duration longest_wait_{0};
 };
 
--- a/src/libnode/serving/load_window_test.cc
+++ b/src/libnode/serving/load_window_test.cc
@@ -14,7 +14,7 @@
 // NOLINTNEXTLINE(readability-identifier-naming)
 TEST_GROUP(LoadWindowTest){};
 
-TEST(LoadWindowTest, TellsWhatTheServerDidSinceTheLastTime) {
+TEST(LoadWindowTest, SummarizesCallsSinceThePreviousSummary) {
   LoadWindow window;
   LoadWindow::Summary load;
   CHECK(window.TakeDue(At(5000), load));
@@ -25,12 +25,12 @@
   CHECK_FALSE(window.TakeDue(At(5900), load));
   CHECK(window.TakeDue(At(6000), load));
   CHECK_EQUAL(2u, load.ended);
-  CHECK(load.mean_own_time == milliseconds(40));
+  CHECK(load.mean_service_time == milliseconds(40));
   DOUBLES_EQUAL(15, load.mean_in_flight, 0.01);
   CHECK(load.longest_wait == milliseconds(9));
 }
 
-TEST(LoadWindowTest, ASecondWithoutCallsIsTold) {
+TEST(LoadWindowTest, APeriodWithoutCallsIsReported) {
   LoadWindow window;
   LoadWindow::Summary load;
   CHECK(window.TakeDue(At(5000), load));
--- a/src/libnode/serving/local_server.cc
+++ b/src/libnode/serving/local_server.cc
@@ -7,19 +7,19 @@
 namespace amaranth::pvt {
 namespace {
 
-// A server that announces no slots is bounded by this alone.
+// Limit of a server that announces no slots.
 constexpr int kDefaultSlots = 100;
 
-// Weight of the newest sample in the mean service time: follows a slowdown
-// within about ten answers without jumping at each.
-constexpr double kServiceWeight = 0.1;
+// Weight of the newest sample in the moving average of the service time:
+// follows a slowdown within about ten answers without reacting to each one.
+constexpr double kServiceTimeWeight = 0.1;
 
-// The shedder's target in queue targets: 80 ms with the default of 20 ms. The
-// queue, which only changes its order, acts first.
-constexpr int kShedderTargets = 4;
+// Target delay of the shedder as a multiple of the queue's: 80 ms with the
+// default of 20 ms. The queue, which only changes its order, reacts first.
+constexpr int kShedderTargetFactor = 4;
 
-// Callers choose class names: the table must not grow with them.
-constexpr size_t kMaxKinds = 256;
+// Bounds the table of service times: callers choose the class names.
+constexpr size_t kMaxCallKinds = 256;
 
 int SlotsOf(const ServerRecord& record, const EffectiveSettings& settings) {
   if (settings.fixed_limit > 0) return static_cast<int>(settings.fixed_limit);
@@ -31,18 +31,18 @@
                                      const EffectiveSettings& settings) {
   ConcurrencyLimitOptions options;
   options.ceiling = SlotsOf(record, settings);
-  // The announced slots are the operators' own figure: start there and let
-  // measured latency lower the limit, instead of shedding a fresh server's
-  // first burst.
+  // Starts at the announced slots, which the operators configure, and lets
+  // measured latency lower the limit. A lower start would shed the first burst
+  // at a new server.
   options.initial = options.ceiling;
   options.adaptive = settings.concurrency == ConcurrencyMode::kAdaptive;
   return options;
 }
 
 AdmissionQueueOptions QueueOptions(const EffectiveSettings& settings,
-                                   bool in_order) {
+                                   bool oldest_first) {
   AdmissionQueueOptions options;
-  options.newest_first = !in_order;
+  options.newest_first = !oldest_first;
   options.capacity = settings.queue_capacity;
   options.target_delay = settings.queue_target;
   return options;
@@ -55,13 +55,13 @@
     : last_heard(now),
       record_(std::move(record)),
       latency_limit_(LimitOptions(record_, settings)),
-      searches_slots_(settings.concurrency == ConcurrencyMode::kThroughput),
-      in_order_(shedding.steer_by_wait),
-      queue_(QueueOptions(settings, in_order_)),
+      uses_slot_search_(settings.concurrency == ConcurrencyMode::kThroughput),
+      oldest_first_(shedding.steer_by_wait),
+      queue_(QueueOptions(settings, oldest_first_)),
       shedder_(shedding),
       long_work_(settings.long_work_share) {
   slot_search_.SetSlots(SlotsOf(record_, settings));
-  shedder_.SetTargetDelay(settings.queue_target * kShedderTargets);
+  shedder_.SetTargetDelay(settings.queue_target * kShedderTargetFactor);
 }
 
 void LocalServer::Configure(const ServerRecord& record,
@@ -70,25 +70,25 @@
   latency_limit_.SetCeiling(SlotsOf(record, settings));
   latency_limit_.SetAdaptive(settings.concurrency ==
                              ConcurrencyMode::kAdaptive);
-  searches_slots_ = settings.concurrency == ConcurrencyMode::kThroughput;
+  uses_slot_search_ = settings.concurrency == ConcurrencyMode::kThroughput;
   slot_search_.SetSlots(SlotsOf(record, settings));
   long_work_ = LongWorkShare(settings.long_work_share);
-  AdmissionQueueOptions queue = QueueOptions(settings, in_order_);
-  if (in_order_) {
+  AdmissionQueueOptions queue = QueueOptions(settings, oldest_first_);
+  if (oldest_first_) {
     queue.capacity = AdmissionQueue::CapacityForWait(
         queue.capacity, SlotsOf(record, settings), expected_service_);
   }
   queue_.Configure(queue);
-  shedder_.SetTargetDelay(settings.queue_target * kShedderTargets);
+  shedder_.SetTargetDelay(settings.queue_target * kShedderTargetFactor);
 }
 
 int LocalServer::limit() const {
-  return searches_slots_ ? slot_search_.limit() : latency_limit_.limit();
+  return uses_slot_search_ ? slot_search_.limit() : latency_limit_.limit();
 }
 
-void LocalServer::OnServed(Duration own_time, TimePoint now) {
-  if (searches_slots_) {
-    slot_search_.OnServed(own_time, queue_.size() > 0, now);
+void LocalServer::OnServed(Duration service_time, TimePoint now) {
+  if (uses_slot_search_) {
+    slot_search_.OnServed(service_time, queue_.size() > 0, now);
   }
 }
 
@@ -102,7 +102,7 @@
 }
 
 void LocalServer::OnEnded(uint64_t dispatch, const CallKind& kind,
-                          Duration latency, Duration own_time, bool failed,
+                          Duration latency, Duration service_time, bool failed,
                           TimePoint now) {
   const auto found = dispatches_.find(dispatch);
   if (found == dispatches_.end()) return;
@@ -111,27 +111,28 @@
     --long_in_flight_;
     latency_limit_.SetLongInFlight(long_in_flight_);
   }
-  // Long work says nothing about how the server copes with ordinary calls.
-  if (!is_long) latency_limit_.OnSample(own_time, in_flight(), failed, now);
+  // The latency of long work says nothing about that of ordinary calls.
+  if (!is_long) latency_limit_.OnSample(service_time, in_flight(), failed, now);
   dispatches_.erase(found);
-  load_.OnEnded(own_time);
+  load_.OnEnded(service_time);
   if (!failed) drain_.OnDone(now);
   if (is_long) return;
-  // A try that timed out counts as slow as it was: without it a server slower
-  // than the timeout would never be seen to be slow.
+  // An attempt that timed out counts with its full latency: otherwise a server
+  // slower than the timeout would never appear slow.
   if (!failed || latency >= expected_service_) {
     expected_service_ =
-        MovingAverage(expected_service_, latency, kServiceWeight);
+        MovingAverage(expected_service_, latency, kServiceTimeWeight);
   }
-  const Duration of_kind = ExpectedService(kind);
-  if ((!failed || latency >= of_kind) && HasPlaceFor(kind)) {
-    expected_by_kind_[kind] = MovingAverage(of_kind, latency, kServiceWeight);
+  const Duration expected_of_kind = ExpectedService(kind);
+  if ((!failed || latency >= expected_of_kind) && HasRoomFor(kind)) {
+    expected_by_kind_[kind] =
+        MovingAverage(expected_of_kind, latency, kServiceTimeWeight);
   }
   shedder_.OnServiceTime(expected_service_);
 }
 
-bool LocalServer::HasPlaceFor(const CallKind& kind) const {
-  return expected_by_kind_.size() < kMaxKinds ||
+bool LocalServer::HasRoomFor(const CallKind& kind) const {
+  return expected_by_kind_.size() < kMaxCallKinds ||
          expected_by_kind_.count(kind) > 0;
 }
 
--- a/src/libnode/serving/local_server.h
+++ b/src/libnode/serving/local_server.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_LIBNODE_SERVING_LOCAL_SERVER_H_
 #define AMARANTHROUTE_LIBNODE_SERVING_LOCAL_SERVER_H_
 
-// A backend server of this host, with the decisions that guard its slots.
+// State of one backend server of this host: its slots, queue, limits and
+// health.
 
 #include <cstdint>
 #include <deque>
@@ -22,15 +23,14 @@
 
 namespace amaranth::pvt {
 
-// Which process of a backend server an announcement speaks for, and in which
-// order its announcements were made; zeros where the server does not tell.
-struct ServerStart {
-  uint64_t started_ms = 0;  // Unix time of its start
-  uint64_t sequence = 0;    // counts up from its start
+// Identifies the process of a backend server that sent an announcement, and the
+// order of its announcements. Both are 0 if the server does not send them.
+struct AnnouncementStamp {
+  uint64_t started_ms = 0;  // Unix time of the start of the process
+  uint64_t sequence = 0;    // counts up from 1 for each process
 };
 
-// Calls that take about as long: of one class of requests, so many calls below
-// where these entered.
+// Calls with a similar service time: request class and nesting depth.
 using CallKind = std::pair<std::string, uint8_t>;
 
 class LocalServer {
@@ -38,10 +38,11 @@
   LocalServer(ServerRecord record, const EffectiveSettings& settings,
               const ShedderOptions& shedding, TimePoint now);
 
-  // The announced slots bound the limit; the operators' settings may fix it.
+  // Applies a new announcement and the settings in force. The announced slots
+  // bound the concurrency limit unless the settings give a fixed number.
   void Configure(const ServerRecord& record, const EffectiveSettings& settings);
 
-  // Calls that may be in the server at once.
+  // Returns the concurrency limit: calls that may be in flight at the server.
   int limit() const;
   bool HasFreeSlot() const { return in_flight() < limit(); }
   bool LongWorkAllowed() const {
@@ -50,17 +51,18 @@
 
   void OnDispatched(uint64_t dispatch, uint64_t fingerprint, bool is_long,
                     Duration waited);
-  // Ends a dispatch that was answered, or broke (`failed`). `own_time` is
-  // `latency` without the waits for nested calls.
+  // Records the end of a dispatch, by an answer or without one (`failed`).
+  // `service_time` is `latency` without the time spent in nested calls.
   void OnEnded(uint64_t dispatch, const CallKind& kind, Duration latency,
-               Duration own_time, bool failed, TimePoint now);
-  // The server ran an ordinary call to its end.
-  void OnServed(Duration own_time, TimePoint now);
+               Duration service_time, bool failed, TimePoint now);
+  // Records that the server served an ordinary call: not long work, and neither
+  // refused nor answered with an error.
+  void OnServed(Duration service_time, TimePoint now);
 
   int in_flight() const { return static_cast<int>(dispatches_.size()); }
   std::vector<std::pair<uint64_t, uint64_t>> InFlight() const;
-  // Usual time of a call, its own calls included: over all kinds, and of one
-  // kind (0 if none was seen).
+  // Moving averages of the service time, nested calls included: over all
+  // ordinary calls, and over those of one kind. 0 before the first sample.
   Duration expected_service() const { return expected_service_; }
   Duration ExpectedService(const CallKind& kind) const;
   LoadReport Report(TimePoint now);
@@ -74,13 +76,15 @@
   LoadWindow& load() { return load_; }
   ServerJudge& judge() { return judge_; }
 
-  // Calls that were in flight at a crash wait here. Each runs with no other
-  // call in flight, so that a second crash names the one that caused it.
+  // Ids of hops that are suspected of a crash and wait to run. Each runs with
+  // no other call in flight, so that a second crash identifies the one that
+  // caused it.
   std::deque<uint64_t> waiting_suspects;
   bool suspect_in_flight = false;
-  // Ordinary calls wait since then for a suspect's lone run; kNever if not.
+  // When ordinary calls were paused so that a suspect can run alone; kNever if
+  // they are not paused.
   TimePoint paused_since = kNever;
-  // No new pause before this.
+  // Earliest start of the next pause.
   TimePoint next_pause{};
 
   bool OrdinaryPaused() const {
@@ -89,8 +93,8 @@
   bool draining = false;
   TimePoint draining_since{};
   TimePoint last_heard{};
-  ServerStart start;
-  ServerFitness told_fitness;  // to the other nodes
+  AnnouncementStamp stamp;
+  ServerFitness sent_fitness;  // last one sent to the other nodes
 
  private:
   struct Dispatch {
@@ -98,14 +102,15 @@
     bool is_long = false;
   };
 
-  bool HasPlaceFor(const CallKind& kind) const;
+  bool HasRoomFor(const CallKind& kind) const;
 
   ServerRecord record_;
   ConcurrencyLimit latency_limit_;
-  bool searches_slots_ = false;
+  bool uses_slot_search_ = false;
   SlotSearch slot_search_;
-  // Where requests are let in at the edge all that wait here will be served.
-  bool in_order_ = false;
+  // Queues oldest first within a tier. Set where requests are admitted at the
+  // edge: all queued calls are then expected to be served.
+  bool oldest_first_ = false;
   AdmissionQueue queue_;
   Shedder shedder_;
   DrainMeter drain_;
--- a/src/libnode/serving/serving_results.cc
+++ b/src/libnode/serving/serving_results.cc
@@ -1,5 +1,5 @@
-// What comes back from backend servers, what it says of them, and what callers
-// are answered.
+// Results of backend servers: their effect on the state of the server, and the
+// answers to the entry nodes.
 
 #include <algorithm>
 #include <utility>
@@ -13,16 +13,18 @@
 
 constexpr const char* kPart = "serving";
 
-// A crash with more victims than this is not told to other nodes as suspects:
-// gossip must stay small, and the entry nodes still mark their own retries.
+// If a crash has more suspects than this, they are not gossiped to the other
+// nodes: gossip must stay small, and the entry nodes still mark their own
+// retries.
 constexpr size_t kMaxGossipedSuspects = 16;
 
-// A call that ended this near to its deadline was ended by it. One that had so
-// many times the usual time by then shows a server that does not answer.
+// A failure this close to the deadline counts as caused by the deadline, unless
+// the call had run for kHangFactor times its typical service time by then: that
+// shows a server that does not answer.
 constexpr Duration kDeadlineMargin = std::chrono::milliseconds(20);
 constexpr int kHangFactor = 5;
 
-bool IsRunningLate(const Hop& hop, TimePoint now) {
+bool HasTimedOut(const Hop& hop, TimePoint now) {
   return hop.timeout_at != kNever && now >= hop.timeout_at;
 }
 
@@ -30,7 +32,7 @@
   return !FindHeader(response.headers, kRefusedHeader).empty();
 }
 
-std::string_view VerdictOf(const ServerFitness& fitness) {
+std::string_view FitnessLabel(const ServerFitness& fitness) {
   if (fitness.failing) return "failing";
   return fitness.sound() ? "sound" : "slow";
 }
@@ -43,7 +45,7 @@
   if (found == servers_.end()) return hop;
   LocalServer& server = found->second;
   server.OnEnded(id, KindOf(hop), context.now - hop.dispatched,
-                 hop.OwnTime(context.now), failed, context.now);
+                 hop.ServiceTime(context.now), failed, context.now);
   if (hop.is_suspect) EndPause(server, context.now);
   return hop;
 }
@@ -52,7 +54,7 @@
                                   Context& context) {
   if (hops_.count(replied.dispatch) == 0) return;
   const Hop hop = EndDispatch(replied.dispatch, false, context);
-  NoteServed(hop, replied.response, context.now);
+  RecordServed(hop, replied.response, context.now);
   const HttpResponse& response = replied.response;
   JudgeResult(hop, response.status >= 500 || IsRefusal(response), context.now);
   crash_guard_.OnSurvived(hop.context.fingerprint, context.now);
@@ -62,106 +64,113 @@
   if (found == servers_.end()) return;
   found->second.last_heard = context.now;
   found->second.crash_window().OnAnswered(hop.id);
-  Pump(found->second, context);
+  DispatchWaiting(found->second, context);
 }
 
-// A refusal or an error frees its slot at once: counted, a server that refuses
-// half of its calls would seem to end twice as many.
-void ServingRole::NoteServed(const Hop& hop, const HttpResponse& response,
-                             TimePoint now) {
+// Refusals and errors are not counted: they free their slot at once, so a
+// server that refuses half of its calls would appear to have twice the
+// throughput.
+void ServingRole::RecordServed(const Hop& hop, const HttpResponse& response,
+                               TimePoint now) {
   const auto found = servers_.find(hop.server);
   const bool served = response.status < 500 && !IsRefusal(response);
   if (found == servers_.end() || !served || hop.context.long_work) return;
-  found->second.OnServed(hop.OwnTime(now), now);
+  found->second.OnServed(hop.ServiceTime(now), now);
 }
 
 void ServingRole::OnServerFailed(const ServerFailed& failed, Context& context) {
-  Hop* broken = FindHop(failed.dispatch);
-  if (broken == nullptr) return;
-  const bool late = IsRunningLate(*broken, context.now);
-  const auto found = servers_.find(broken->server);
+  Hop* failed_hop = FindHop(failed.dispatch);
+  if (failed_hop == nullptr) return;
+  const bool timed_out = HasTimedOut(*failed_hop, context.now);
+  const auto found = servers_.find(failed_hop->server);
   if (found != servers_.end()) {
     LocalServer& server = found->second;
-    const bool reset =
-        failed.reason == Reason::kConnectionLost && !late && !broken->cancelled;
-    if (reset) {
+    const bool was_reset = failed.reason == Reason::kConnectionLost &&
+                           !timed_out && !failed_hop->cancelled;
+    if (was_reset) {
       server.crash_window().OnReset(failed.dispatch, server.InFlight(),
                                     context.now);
     }
     if (failed.reason == Reason::kConnectFailed) {
-      server.crash_window().OnRefused();
+      server.crash_window().OnConnectionRefused();
     }
-    // The other pooled connections went through the same middle box: one that
-    // forgot this connection may have forgotten them all.
-    if (late) context.Emit(DropIdleConnections{server.record().address});
+    // The other pooled connections passed through the same middlebox: one that
+    // lost the state of this connection may have lost that of all.
+    if (timed_out) context.Emit(DropIdleConnections{server.record().address});
   }
-  const bool cancelled = broken->cancelled;
+  const bool cancelled = failed_hop->cancelled;
   const Hop hop = EndDispatch(failed.dispatch, !cancelled, context);
   if (!cancelled) JudgeResult(hop, true, context.now);
   on_hop_cancelled(hop.id, context);
-  // Told to the fleet before the caller is answered, who may send it again.
-  if (found != servers_.end()) NoteCrash(found->second, context);
-  Fail(hop, ExplainBreak(failed, hop, context.now), context);
+  // Before the caller is answered: a resend must find the suspects known to the
+  // other nodes.
+  if (found != servers_.end()) RecordCrash(found->second, context);
+  Fail(hop, FailureFor(failed, hop, context.now), context);
   if (found == servers_.end()) return;
-  Pump(found->second, context);
+  DispatchWaiting(found->second, context);
 }
 
 void ServingRole::JudgeResult(const Hop& hop, bool failed, TimePoint now) {
   const auto found = servers_.find(hop.server);
   if (found == servers_.end() || hop.context.long_work) return;
-  const Duration own_time = hop.OwnTime(now);
-  // A failure below is not the server's own, nor is a deadline that came before
-  // the server had the time that it needs.
-  const bool below = hop.nested_gave_up || !hop.failed_nested.empty() ||
-                     hop.nested_in_flight > 0;
-  const bool cut_short = now + kDeadlineMargin >= hop.deadline &&
-                         own_time < hop.usual * kHangFactor;
-  if (failed && (below || cut_short)) return;
-  found->second.judge().OnEnded(own_time, hop.usual, failed, now);
+  const Duration service_time = hop.ServiceTime(now);
+  // A failure caused by nested calls is not the server's own, nor is a deadline
+  // that left it less time than it needs.
+  const bool caused_by_nested = hop.nested_gave_up ||
+                                !hop.failed_nested.empty() ||
+                                hop.nested_in_flight > 0;
+  const bool deadline_too_short =
+      now + kDeadlineMargin >= hop.deadline &&
+      service_time < hop.typical_service_time * kHangFactor;
+  if (failed && (caused_by_nested || deadline_too_short)) return;
+  found->second.judge().OnEnded(service_time, hop.typical_service_time, failed,
+                                now);
 }
 
-void ServingRole::TellFitness(LocalServer& server, Context& context) {
+void ServingRole::SendFitness(LocalServer& server, Context& context) {
   const std::string& service = server.record().service;
   ServerFitness fitness = server.judge().Fitness(context.now);
-  // The only server of a service has nothing to be compared with.
+  // The only server of a service cannot be compared with others.
   if (membership_.ServersOf(service).size() < 2) fitness = ServerFitness();
-  if (fitness == server.told_fitness) return;
-  server.told_fitness = fitness;
+  if (fitness == server.sent_fitness) return;
+  server.sent_fitness = fitness;
   const std::string& name = server.record().server;
   membership_.SetServerFitness(name, fitness, context);
-  const std::string verdict(VerdictOf(fitness));
+  const std::string verdict(FitnessLabel(fitness));
   stats_.Count("amaranth_server_verdicts_total", "verdict=\"" + verdict + "\"");
   context.Log(LogLevel::kInfo, kPart,
               "Backend server " + name + " of service " + service +
-                  " is judged " + verdict +
+                  " classified as " + verdict +
                   ": slowdown=" + std::to_string(fitness.slowdown) + ".");
 }
 
-Failure ServingRole::ExplainBreak(const ServerFailed& failed, const Hop& hop,
-                                  TimePoint now) const {
+Failure ServingRole::FailureFor(const ServerFailed& failed, const Hop& hop,
+                                TimePoint now) const {
   Failure failure;
   failure.verdict = failed.verdict;
   failure.reason = failed.reason;
   if (hop.cancelled) failure.reason = Reason::kCancelled;
-  // A try that timed out is no sign of a crash.
-  if (IsRunningLate(hop, now)) failure.reason = Reason::kDeadline;
-  failure.detail = "backend server " + hop.server + " broke off";
+  // An attempt that timed out is no sign of a crash.
+  if (HasTimedOut(hop, now)) failure.reason = Reason::kDeadline;
+  failure.detail =
+      "backend server " + hop.server + " did not complete its answer";
   failure.final = hop.nested_gave_up;
   return failure;
 }
 
-void ServingRole::NoteCrash(LocalServer& server, Context& context) {
-  std::vector<uint64_t> victims = server.crash_window().TakeCrash();
-  if (victims.empty()) return;
-  const size_t in_flight = victims.size();
-  victims.erase(std::remove_if(victims.begin(), victims.end(),
-                               [&](uint64_t fingerprint) {
-                                 return answered_.Contains(fingerprint,
-                                                           context.now);
-                               }),
-                victims.end());
+void ServingRole::RecordCrash(LocalServer& server, Context& context) {
+  std::vector<uint64_t> fingerprints =
+      server.crash_window().TakeCrashedFingerprints();
+  if (fingerprints.empty()) return;
+  const size_t in_flight = fingerprints.size();
+  fingerprints.erase(std::remove_if(fingerprints.begin(), fingerprints.end(),
+                                    [&](uint64_t fingerprint) {
+                                      return answered_.Contains(fingerprint,
+                                                                context.now);
+                                    }),
+                     fingerprints.end());
   const std::string& service = server.record().service;
-  crash_guard_.OnCrash(victims, context.now);
+  crash_guard_.OnCrash(fingerprints, context.now);
   stats_.Count("amaranth_server_crashes_total", "service=\"" + service + "\"");
   records_.Add(context.now, "", "crash",
                server.record().server + " crashed with " +
@@ -227,16 +236,16 @@
 
 void ServingRole::Answer(const Hop& hop, HttpResponse response,
                          Context& context) {
-  // A server that sheds load says so; believed only if it made no nested call,
-  // whose effect it could not take back.
+  // A server that sheds load marks its refusal. "Not run" holds only if it made
+  // no nested call, whose effect it could not undo.
   if (IsRefusal(response) && hop.nested_calls == 0) {
     return Refuse(hop, Reason::kServerRefused, context);
   }
   CallAnswer answer;
   answer.response = std::move(response);
   RemoveHeader(answer.response.headers, kRefusedHeader);
-  // Told to the entry node, so that a 5xx which only passes on a nested
-  // failure is not retried by yet another layer.
+  // Marks the answer as final for the entry node, so that a 5xx that only
+  // passes on a nested failure is not retried by another layer.
   if (hop.nested_gave_up) {
     SetHeader(answer.response.headers, kFinalHeader, "1");
   }
@@ -252,11 +261,11 @@
   if (found != servers_.end()) answer.load = found->second.Report(context.now);
   const bool served =
       answer.failure.reason == Reason::kNone && answer.response.status < 500;
-  if (served) answer.load.own_us = ToWireMicros(hop.OwnTime(context.now));
+  if (served) answer.load.own_us = ToWireMicros(hop.ServiceTime(context.now));
   answer.load.downstream_threshold = hop.downstream_threshold;
   answer.made_calls = hop.nested_calls > 0;
   answer.times.held_us = ToWireMicros(context.now - hop.arrived);
-  answer.times.waited_us = ToWireMicros(hop.Waited(context.now));
+  answer.times.waited_us = ToWireMicros(hop.WaitTime(context.now));
   outbox_.Send(hop.entry.name, hop.entry_address, std::move(answer), context);
 }
 
--- a/src/libnode/serving/serving_role.cc
+++ b/src/libnode/serving/serving_role.cc
@@ -8,15 +8,16 @@
 namespace amaranth::pvt {
 namespace {
 
-// More suspects than this wait for no server: they are refused as not run.
+// Suspects that may wait at one server. Further ones are refused as not run.
 constexpr size_t kMaxWaitingSuspects = 16;
 
-// How long ordinary calls wait for those in flight to end before a suspect's
-// lone run. Long work would otherwise stop its server for seconds; the suspect
-// then tries again, or ends at its deadline as not run.
-constexpr Duration kLongestPause = std::chrono::milliseconds(200);
+// How long ordinary calls are paused until the calls in flight have ended and a
+// suspect can run alone. Without a bound, long work in flight would block the
+// server for seconds. The suspect then waits for the next pause, or is refused
+// as not run at its deadline.
+constexpr Duration kMaxPause = std::chrono::milliseconds(200);
 
-// How long after its deadline a non-idempotent call's answer is still awaited.
+// How long the answer to a non-idempotent call is awaited past its deadline.
 constexpr Duration kLateAnswerGrace = std::chrono::seconds(5);
 
 }  // namespace
@@ -65,7 +66,7 @@
   hop.arrived = context.now;
   hop.deadline = context.now + hop.context.remaining;
   hop.ledger = CreditLedger(hop.context.retry_credits);
-  hop.usual = Duration(forward.usual_us);
+  hop.typical_service_time = Duration(forward.usual_us);
   stats_.Count("amaranth_hops_total");
   Admit(std::move(hop), context);
 }
@@ -79,13 +80,13 @@
   const uint32_t crashes =
       membership_.CrashesOf(hop.context.service, fingerprint);
   if (crashes >= kQuarantineCrashes) return CrashGuard::Handling::kQuarantined;
-  const CrashGuard::Handling own = crash_guard_.HandlingOf(fingerprint, now);
+  const CrashGuard::Handling local = crash_guard_.HandlingOf(fingerprint, now);
   const bool suspected_elsewhere =
       crashes >= kSuspectCrashes || hop.context.suspected_crashes > 0;
-  if (own == CrashGuard::Handling::kNormal && suspected_elsewhere) {
+  if (local == CrashGuard::Handling::kNormal && suspected_elsewhere) {
     return CrashGuard::Handling::kRunAlone;
   }
-  return own;
+  return local;
 }
 
 void ServingRole::Admit(Hop hop, Context& context) {
@@ -108,13 +109,13 @@
 
   const uint32_t level = hop.context.level;
   server.shedder().OnArrival(level, context.now);
-  const bool let_in =
+  const bool admitted_at_edge =
       context.identity.rules.admit_at_edge && hop.context.depth > 0;
-  if (!let_in && !server.shedder().Admits(level, context.now)) {
+  if (!admitted_at_edge && !server.shedder().Admits(level, context.now)) {
     return Refuse(hop, Reason::kShedAtServer, context);
   }
   Enqueue(std::move(hop), level, server, context);
-  Pump(server, context);
+  DispatchWaiting(server, context);
 }
 
 void ServingRole::AdmitSuspect(Hop hop, LocalServer& server, Context& context) {
@@ -126,7 +127,7 @@
   queue_deadlines_.Add(hop.deadline, hop.id);
   by_attempt_[{hop.entry, hop.attempt}] = hop.id;
   hops_.emplace(hop.id, std::move(hop));
-  PumpSuspects(server, context);
+  DispatchSuspect(server, context);
 }
 
 void ServingRole::Enqueue(Hop hop, uint32_t level, LocalServer& server,
@@ -134,8 +135,8 @@
   QueuedCall queued;
   queued.id = hop.id;
   queued.tier = hop.context.tier;
-  // A request that asks this service directly spends its whole time here, the
-  // others' calls only a part of theirs.
+  // Calls that enter the mesh at this service are queued one tier higher: such
+  // a request spends all of its time here, a nested call only a part of it.
   const bool direct =
       context.identity.rules.admit_at_edge && hop.context.depth == 0;
   if (direct && queued.tier != Tier::kCritical) {
@@ -159,12 +160,13 @@
   hops_.emplace(hop.id, std::move(hop));
 }
 
-void ServingRole::Pump(LocalServer& server, Context& context) {
-  PumpSuspects(server, context);
+void ServingRole::DispatchWaiting(LocalServer& server, Context& context) {
+  DispatchSuspect(server, context);
   while (server.HasFreeSlot() && !server.OrdinaryPaused()) {
-    // Read before Pop: the started call's own wait is short in any overload, as
-    // order is by tier and newest first, and nothing would be shed.
-    const Duration standing = server.queue().standing_delay(context.now);
+    // Read before Pop. The wait of the call that is started would not do: with
+    // order by tier and newest first it stays short in any overload, and
+    // nothing would be shed.
+    const Duration standing_delay = server.queue().standing_delay(context.now);
     std::vector<QueuedCall> expired;
     const std::optional<QueuedCall> next =
         server.queue().Pop(context.now, server.expected_service(),
@@ -174,12 +176,12 @@
       if (server.queue().size() == 0) server.shedder().OnIdle(context.now);
       return;
     }
-    server.shedder().OnQueueDelay(standing, context.now);
+    server.shedder().OnQueueDelay(standing_delay, context.now);
     Dispatch(hops_.at(next->id), server, context);
   }
 }
 
-void ServingRole::PumpSuspects(LocalServer& server, Context& context) {
+void ServingRole::DispatchSuspect(LocalServer& server, Context& context) {
   if (server.suspect_in_flight) return;
   RefuseQuarantined(server, context);
   if (server.waiting_suspects.empty()) {
@@ -189,7 +191,7 @@
   if (context.now < server.next_pause) return;
   if (server.paused_since == kNever) server.paused_since = context.now;
   if (server.in_flight() > 0) {
-    const bool too_long = context.now - server.paused_since >= kLongestPause;
+    const bool too_long = context.now - server.paused_since >= kMaxPause;
     if (too_long) EndPause(server, context.now);
     return;
   }
@@ -216,8 +218,9 @@
 void ServingRole::EndPause(LocalServer& server, TimePoint now) {
   server.suspect_in_flight = false;
   if (server.paused_since == kNever) return;
-  // Ordinary calls get at least as long as the pause took: a crash with a
-  // hundred in flight would otherwise stop them for a hundred lone runs.
+  // Ordinary calls run for at least as long as the pause took: after a crash
+  // with a hundred calls in flight they would otherwise be blocked while a
+  // hundred suspects run alone.
   server.next_pause = now + (now - server.paused_since);
   server.paused_since = kNever;
 }
@@ -239,13 +242,14 @@
                                       const Context& context) const {
   const Duration remaining = hop.deadline - context.now;
   const DeploymentRules& rules = context.identity.rules;
-  // Nobody asks again for a late answer. Nor is a slow one a sign of a silent
-  // connection where calls wait for the services below: broken off, its whole
-  // request fails although the server is at work on it.
+  // Nobody resends such a request for a late answer. A slow answer is no sign
+  // of an unresponsive connection either, where calls wait for nested calls:
+  // with a shorter timeout the whole request would fail although the server is
+  // still processing it.
   if (rules.ids_name_sendings) return remaining;
-  // A non-idempotent call on a silent connection cannot be tried again, so
-  // giving up early would only lose an answer that may still come, and that a
-  // resend of its key will ask for.
+  // A non-idempotent call cannot be retried on another connection. An earlier
+  // timeout would only lose an answer that may still arrive, and that a resend
+  // under the same key asks for.
   if (!hop.context.idempotent) return remaining + kLateAnswerGrace;
   if (hop.context.long_work) return remaining;
   return AttemptTimeout(server.expected_service(), remaining);
@@ -275,8 +279,8 @@
   if (hop.cancelled) return;
   hop.cancelled = true;
   if (hop.state == HopState::kDispatched) {
-    // The verdict waits for the shell's ServerFailed: until the connection is
-    // closed the backend server may still start the request.
+    // The verdict is known only with the shell's ServerFailed: until the
+    // connection is closed the backend server may still start the request.
     context.Emit(CancelServer{hop.id});
     on_hop_cancelled(hop.id, context);
     return;
@@ -292,8 +296,8 @@
   }
   for (const uint64_t id : orphans) {
     Hop& hop = hops_.at(id);
-    // A dispatched non-idempotent call is left to finish: stopping it half way
-    // helps nobody, and its keyed caller may come back for the answer.
+    // A dispatched non-idempotent call runs to completion: its effect may have
+    // begun, and a resend under the same key may ask for the answer.
     const bool keep = hop.state == HopState::kDispatched &&
                       !hop.context.idempotent &&
                       !context.identity.rules.ids_name_sendings;
--- a/src/libnode/serving/serving_role.h
+++ b/src/libnode/serving/serving_role.h
@@ -1,8 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_SERVING_SERVING_ROLE_H_
 #define AMARANTHROUTE_LIBNODE_SERVING_SERVING_ROLE_H_
 
-// The node as guard of its host's backend servers: lets calls in, queues,
-// sheds, dispatches and answers them, and keeps the ledger of each hop.
+// The serving role of a node: admits, queues, sheds, dispatches and answers
+// calls to the backend servers of its host, and keeps the retry credits of each
+// hop.
 
 #include <cstdint>
 #include <functional>
@@ -33,10 +34,11 @@
   ServingRole(Membership& membership, SettingsCache& settings, Outbox& outbox,
               Stats& stats, Records& records);
 
-  // A hop ended or was cancelled: its nested calls have no one to answer to.
+  // Called when a dispatched hop failed or was cancelled: the answers to its
+  // nested calls are no longer needed.
   std::function<void(uint64_t hop, Context&)> on_hop_cancelled;
 
-  // Announcements of backend servers, over the callers' port.
+  // Handle the announcements and leave messages of backend servers.
   void OnAnnounce(CallId call, const HttpRequest& request, Context& context);
   void OnLeave(CallId call, const HttpRequest& request, Context& context);
 
@@ -45,12 +47,14 @@
                 Context& context);
   void OnServerReplied(const ServerReplied& replied, Context& context);
   void OnServerFailed(const ServerFailed& failed, Context& context);
-  // The link to an entry node is gone, and with it whoever waited there.
+  // Cancels the calls of an entry node whose link was lost: their answers can
+  // no longer be delivered.
   void OnEntryLost(const std::string& peer, Context& context);
   void OnTimer(Context& context);
   TimePoint next_timer() const;
 
-  // The hop that a nested call belongs to; null if the token names none.
+  // Returns the hop that a nested call belongs to; null if the token names
+  // none.
   Hop* FindHop(const ContextToken& token);
   Hop* FindHop(uint64_t id);
 
@@ -59,8 +63,8 @@
 
  private:
   using AttemptKey = std::pair<NodeRef, AttemptId>;
-  // Attempt ids count up at each entry node, and its incarnation tells nodes
-  // apart; the name need not be hashed, only compared.
+  // Attempt ids count up at each entry node, and incarnations distinguish the
+  // nodes; the name is only compared, not hashed.
   struct AttemptKeyHash {
     size_t operator()(const AttemptKey& key) const {
       return std::hash<uint64_t>()(key.first.incarnation * 31 + key.second);
@@ -72,8 +76,8 @@
   void Enqueue(Hop hop, uint32_t level, LocalServer& server, Context& context);
   CrashGuard::Handling HandlingOf(const Hop& hop, TimePoint now) const;
 
-  void Pump(LocalServer& server, Context& context);
-  void PumpSuspects(LocalServer& server, Context& context);
+  void DispatchWaiting(LocalServer& server, Context& context);
+  void DispatchSuspect(LocalServer& server, Context& context);
   void RefuseQuarantined(LocalServer& server, Context& context);
   static void EndPause(LocalServer& server, TimePoint now);
   void Dispatch(Hop& hop, LocalServer& server, Context& context);
@@ -90,33 +94,38 @@
   Duration RetryAfterFor(const std::string& server, Context& context);
 
   static CallKind KindOf(const Hop& hop);
-  // Takes a dispatched hop out of its server's books.
+  // Removes a dispatched hop and records its end at its server.
   Hop EndDispatch(uint64_t id, bool failed, Context& context);
-  void NoteServed(const Hop& hop, const HttpResponse& response, TimePoint now);
-  // Passes a result on to the server's judge; `failed` by what came back.
+  void RecordServed(const Hop& hop, const HttpResponse& response,
+                    TimePoint now);
+  // Passes a result to the server's judge unless it says nothing about the
+  // health of the server.
   void JudgeResult(const Hop& hop, bool failed, TimePoint now);
-  // Tells the other nodes of a server that turned bad or is sound again.
-  void TellFitness(LocalServer& server, Context& context);
-  void NoteCrash(LocalServer& server, Context& context);
+  // Sends a change of the server's fitness to the other nodes.
+  void SendFitness(LocalServer& server, Context& context);
+  void RecordCrash(LocalServer& server, Context& context);
   Hop TakeHop(uint64_t id);
-  // The same for one not yet dispatched, which also leaves its queue.
+  // The same for a hop that is not dispatched yet; also removes it from its
+  // queue.
   Hop TakeWaitingHop(uint64_t id);
   void Cancel(Hop& hop, Context& context);
-  bool IsOutdated(const ServerRecord& record, const ServerStart& start) const;
-  void RemoveReplaced(const ServerRecord& record, const ServerStart& start,
-                      Context& context);
+  bool IsOutdated(const ServerRecord& record,
+                  const AnnouncementStamp& stamp) const;
+  void RemoveReplaced(const ServerRecord& record,
+                      const AnnouncementStamp& stamp, Context& context);
   static void BeginDrain(LocalServer& server, Context& context);
-  // Hops of `server` that are not dispatched yet.
+  // Returns the hops of `server` that are not dispatched yet.
   std::vector<uint64_t> WaitingAt(const std::string& server) const;
-  void RefuseUndrained(LocalServer& server, Context& context);
+  void RefuseAfterDrainLimit(LocalServer& server, Context& context);
   void CheckServers(Context& context);
-  // Once a second: what the server did, and a line if calls waited for it.
-  void TellLoad(LocalServer& server, Context& context);
-  // Gives up on waiting calls that are past deadline or patience.
+  // Once in kLoadReportPeriod: updates the load metrics of the server, and logs
+  // its load if calls waited for it.
+  void ReportLoad(LocalServer& server, Context& context);
+  // Refuses queued calls that are past their deadline or their queue timeout.
   void DropExpired(LocalServer& server, Context& context);
   void RemoveServer(const std::string& name, Context& context);
-  Failure ExplainBreak(const ServerFailed& failed, const Hop& hop,
-                       TimePoint now) const;
+  Failure FailureFor(const ServerFailed& failed, const Hop& hop,
+                     TimePoint now) const;
 
   Membership& membership_;
   SettingsCache& settings_;
@@ -124,12 +133,12 @@
   Stats& stats_;
   Records& records_;
   CrashGuard crash_guard_;
-  // Fingerprints that were answered here lately. They crash nothing: without
-  // this a popular page that happened to be in flight at a crash would run one
-  // at a time on every host, and at a second crash be quarantined.
+  // Fingerprints that were answered here recently, and are therefore not
+  // suspects. Otherwise a popular page that was in flight at a crash would run
+  // one at a time on every host, and be quarantined at a second crash.
   RecentSet answered_;
   std::map<std::string, LocalServer> servers_;
-  LeftServers left_;
+  DepartedServers departed_;
   std::map<uint64_t, Hop> hops_;
   std::unordered_map<AttemptKey, uint64_t, AttemptKeyHash> by_attempt_;
   DeadlineSet queue_deadlines_;
--- a/src/libnode/serving/serving_servers.cc
+++ b/src/libnode/serving/serving_servers.cc
@@ -1,4 +1,4 @@
-// Backend servers' announcements and timers of the serving role.
+// Announcements of backend servers, and timers of the serving role.
 
 #include <nlohmann/json.hpp>
 
@@ -15,8 +15,9 @@
 constexpr size_t kMaxLocalServers = 64;
 constexpr size_t kMaxNameLength = 100;
 
-// A second in which no call waited longer for a slot has nothing to explain.
-constexpr Duration kWorthTelling = std::chrono::milliseconds(10);
+// The load of a server is logged if a call waited at least this long for a slot
+// or calls are queued.
+constexpr Duration kMinLoggedWait = std::chrono::milliseconds(10);
 
 std::optional<Endpoint> ParseEndpoint(const std::string& text) {
   const size_t colon = text.rfind(':');
@@ -42,7 +43,7 @@
 
 struct Announcement {
   ServerRecord record;
-  ServerStart start;
+  AnnouncementStamp stamp;
 };
 
 Outcome<Announcement> ParseAnnouncement(const Body& body) {
@@ -52,8 +53,8 @@
   }
   try {
     Announcement announcement;
-    announcement.start.started_ms = json.value("started_ms", uint64_t{0});
-    announcement.start.sequence = json.value("sequence", uint64_t{0});
+    announcement.stamp.started_ms = json.value("started_ms", uint64_t{0});
+    announcement.stamp.sequence = json.value("sequence", uint64_t{0});
     ServerRecord& record = announcement.record;
     record.server = json.value("server", "");
     record.service = json.value("service", "");
@@ -88,23 +89,23 @@
   Outcome<Announcement> parsed = ParseAnnouncement(request.body);
   if (!parsed) {
     context.Log(LogLevel::kWarning, kPart,
-                "Announcement refused: " + parsed.error().message + ".");
+                "Rejected announcement: " + parsed.error().message + ".");
     context.Emit(
         AnswerCaller{call, BadAnnouncement(parsed.error().message, context)});
     return;
   }
   ServerRecord& record = parsed.value().record;
-  const ServerStart& start = parsed.value().start;
-  if (IsOutdated(record, start)) {
+  const AnnouncementStamp& stamp = parsed.value().stamp;
+  if (IsOutdated(record, stamp)) {
     context.Log(LogLevel::kInfo, kPart,
-                "Late announcement of backend server " + record.server +
-                    " passed over, sequence " + std::to_string(start.sequence) +
-                    ".");
+                "Ignored outdated announcement of backend server " +
+                    record.server + ", sequence " +
+                    std::to_string(stamp.sequence) + ".");
     context.Emit(AnswerCaller{call, JsonResponse(200, "{}")});
     return;
   }
-  RemoveReplaced(record, start, context);
-  if (left_.Contains(record.server, start, context.now)) {
+  RemoveReplaced(record, stamp, context);
+  if (departed_.Contains(record.server, stamp, context.now)) {
     record.draining = true;
   }
   const EffectiveSettings& settings = settings_.Of(record.service, "");
@@ -113,7 +114,7 @@
     LocalServer& known = found->second;
     known.Configure(record, settings);
     known.last_heard = context.now;
-    known.start = start;
+    known.stamp = stamp;
     if (record.draining) {
       BeginDrain(known, context);
     } else {
@@ -127,7 +128,7 @@
     ShedderOptions shedding;
     shedding.steer_by_wait = context.identity.rules.admit_at_edge;
     LocalServer server(record, settings, shedding, context.now);
-    server.start = start;
+    server.stamp = stamp;
     if (record.draining) BeginDrain(server, context);
     servers_.emplace(record.server, std::move(server));
     context.Log(LogLevel::kInfo, kPart,
@@ -138,40 +139,41 @@
   context.Emit(AnswerCaller{call, JsonResponse(200, "{}")});
 }
 
-// An announcement that was held up on its way may arrive after a later one, or
-// after its sender's successor has announced itself. Believed, it would send
-// calls to a server that has said it is leaving, or expect an instance that is
-// gone: each of its calls would be refused by the one that has the address.
+// A delayed announcement may arrive after a later one, or after the first one
+// of its sender's successor. If it were accepted, calls would be sent to a
+// server that is leaving, or would expect an instance that has exited: the
+// process that now has the address would refuse each of them.
 bool ServingRole::IsOutdated(const ServerRecord& record,
-                             const ServerStart& start) const {
+                             const AnnouncementStamp& stamp) const {
   for (const auto& [name, server] : servers_) {
     const bool same_server = name == record.server;
     const bool same_address = server.record().address == record.address;
     if (!same_server && !same_address) continue;
-    if (start.started_ms < server.start.started_ms) return true;
-    const bool same_start = start.started_ms == server.start.started_ms;
-    if (same_server && same_start && start.sequence != 0 &&
-        start.sequence <= server.start.sequence) {
+    if (stamp.started_ms < server.stamp.started_ms) return true;
+    const bool same_start = stamp.started_ms == server.stamp.started_ms;
+    if (same_server && same_start && stamp.sequence != 0 &&
+        stamp.sequence <= server.stamp.sequence) {
       return true;
     }
   }
   return false;
 }
 
-// A server that starts again, under its old name or at its old address under a
-// new one, knows nothing of before: its record, its queue and what was measured
-// of it are those of a process that is gone.
+// A server that restarted, under its old name or under a new one at the same
+// address, is a new process: the record, queue and measurements of the old one
+// no longer apply.
 void ServingRole::RemoveReplaced(const ServerRecord& record,
-                                 const ServerStart& start, Context& context) {
+                                 const AnnouncementStamp& stamp,
+                                 Context& context) {
   std::vector<std::string> replaced;
   for (const auto& [name, server] : servers_) {
     const bool restarted =
-        name == record.server && start.started_ms > server.start.started_ms;
-    // Of servers that do not tell their start nobody knows which came last.
-    const bool moved_in = name != record.server &&
-                          server.record().address == record.address &&
-                          start.started_ms > server.start.started_ms;
-    if (restarted || moved_in) replaced.push_back(name);
+        name == record.server && stamp.started_ms > server.stamp.started_ms;
+    // Servers that send no start time cannot be ordered, so none is replaced.
+    const bool address_reused = name != record.server &&
+                                server.record().address == record.address &&
+                                stamp.started_ms > server.stamp.started_ms;
+    if (restarted || address_reused) replaced.push_back(name);
   }
   for (const std::string& name : replaced) RemoveServer(name, context);
 }
@@ -192,9 +194,9 @@
   return waiting;
 }
 
-// A server ends some time after it has told of its leaving; calls that still
-// wait for it then would reach it too late or never.
-void ServingRole::RefuseUndrained(LocalServer& server, Context& context) {
+// A server exits some time after its leave message: calls that are still
+// waiting by then would reach it too late or not at all.
+void ServingRole::RefuseAfterDrainLimit(LocalServer& server, Context& context) {
   const Duration limit = context.identity.rules.drain_limit;
   if (limit == Duration::zero() || !server.draining) return;
   if (context.now - server.draining_since < limit) return;
@@ -214,16 +216,17 @@
   }
   const auto found = servers_.find(name);
   if (found == servers_.end()) {
-    const bool remembers = context.identity.rules.announce_port && IsName(name);
-    if (remembers) left_.Add(name, std::nullopt, context.now);
+    const bool records_departure =
+        context.identity.rules.announce_port && IsName(name);
+    if (records_departure) departed_.Add(name, std::nullopt, context.now);
     context.Emit(AnswerCaller{
-        call, remembers ? JsonResponse(200, "{}")
-                        : BadAnnouncement("no such server", context)});
+        call, records_departure ? JsonResponse(200, "{}")
+                                : BadAnnouncement("no such server", context)});
     return;
   }
-  left_.Add(name, found->second.start.started_ms, context.now);
-  // From now on stragglers are refused as not run; what is in flight or queued
-  // still runs, since the server promised to finish it.
+  departed_.Add(name, found->second.stamp.started_ms, context.now);
+  // New calls are refused as not run from now on. Calls in flight or queued
+  // still run: a leaving server finishes them.
   BeginDrain(found->second, context);
   membership_.SetServerDraining(name, context);
   records_.Add(context.now, "", "leave", name + " is leaving");
@@ -239,9 +242,11 @@
     Refuse(hop, Reason::kNoServer, context);
   }
   servers_.erase(name);
-  records_.Add(context.now, "", "gone", name + " stopped announcing itself");
+  records_.Add(context.now, "", "gone",
+               name + " was replaced or stopped announcing itself");
   context.Log(LogLevel::kWarning, kPart,
-              "Backend server " + name + " stopped announcing itself.");
+              "Removed backend server " + name +
+                  ": it was replaced or stopped announcing itself.");
 }
 
 void ServingRole::DropExpired(LocalServer& server, Context& context) {
@@ -250,14 +255,15 @@
   RefuseAll(expired, Reason::kDeadline, context);
 }
 
-void ServingRole::TellLoad(LocalServer& server, Context& context) {
+void ServingRole::ReportLoad(LocalServer& server, Context& context) {
   LoadWindow::Summary load;
   if (!server.load().TakeDue(context.now, load)) return;
   const std::string label = "service=\"" + server.record().service + "\"";
   stats_.Count("amaranth_server_ended_total", label, load.ended);
-  stats_.Count("amaranth_server_busy_us_total", label,
-               load.ended * static_cast<uint64_t>(load.mean_own_time.count()));
-  if (load.longest_wait < kWorthTelling && server.queue().size() == 0) return;
+  stats_.Count(
+      "amaranth_server_busy_us_total", label,
+      load.ended * static_cast<uint64_t>(load.mean_service_time.count()));
+  if (load.longest_wait < kMinLoggedWait && server.queue().size() == 0) return;
   std::string text = "Calls wait for backend server " + server.record().server;
   text += ": service=" + server.record().service;
   text += " slots=" + std::to_string(server.record().slots);
@@ -265,28 +271,28 @@
   text += " mean_in_flight=" + std::to_string(load.mean_in_flight);
   text += " queued=" + std::to_string(server.queue().size());
   text += " ended=" + std::to_string(load.ended);
-  text += " own_us=" + std::to_string(load.mean_own_time.count());
+  text += " own_us=" + std::to_string(load.mean_service_time.count());
   text += " longest_wait_ms=" + std::to_string(ToMillis(load.longest_wait));
   context.Log(LogLevel::kInfo, kPart, std::move(text));
 }
 
 void ServingRole::CheckServers(Context& context) {
-  std::vector<std::string> silent;
+  std::vector<std::string> expired;
   for (auto& [name, server] : servers_) {
     server.crash_window().Expire(context.now);
     DropExpired(server, context);
-    RefuseUndrained(server, context);
-    Pump(server, context);
-    TellLoad(server, context);
-    TellFitness(server, context);
-    // Four lost announcements, and no answer in that time either. Shorter would
-    // drop servers that are merely busy, longer would keep sending work to dead
-    // ones.
+    RefuseAfterDrainLimit(server, context);
+    DispatchWaiting(server, context);
+    ReportLoad(server, context);
+    SendFitness(server, context);
+    // The lease is four announcements by default, and answers renew it as
+    // well. A shorter one would remove servers that are only busy; a longer one
+    // would keep sending calls to crashed servers.
     if (context.now - server.last_heard > context.identity.rules.server_lease) {
-      silent.push_back(name);
+      expired.push_back(name);
     }
   }
-  for (const std::string& name : silent) RemoveServer(name, context);
+  for (const std::string& name : expired) RemoveServer(name, context);
 }
 
 void ServingRole::OnTimer(Context& context) {
@@ -309,7 +315,7 @@
 
 TimePoint ServingRole::next_timer() const {
   TimePoint next = servers_.empty() ? kNever : next_check_;
-  // Patience ends before deadlines do.
+  // Queue timeouts may end before deadlines do.
   for (const auto& [name, server] : servers_) {
     next = std::min(next, server.queue().next_deadline());
   }
