--- a/src/libnode/node_state.cc
+++ b/src/libnode/node_state.cc
@@ -11,7 +11,8 @@
 
 constexpr std::string_view kTicketPath = "/amaranth/v1/ticket";
 
-// Without settings the class is unknown; the method alone must do.
+// Returns whether the request has a key or request id and is not a read. Judged
+// by the method alone: without settings its class is unknown.
 bool IsKeyed(const HttpRequest& request) {
   const bool named =
       !FindHeader(request.headers, kIdempotencyKeyHeader).empty() ||
@@ -19,7 +20,7 @@
   return !IsReadMethod(request.method) && named;
 }
 
-std::string_view KindLabelOf(const PlatformRequest& request) {
+std::string_view KindLabel(const PlatformRequest& request) {
   if (std::holds_alternative<TableWatchSettings>(request)) {
     return "kind=\"watch-settings\"";
   }
@@ -50,10 +51,10 @@
       claims(membership, outbox, stats),
       entry({membership, settings_cache, serving, claims, outbox, stats,
              records, identity.data_centre}) {
-  JoinModules();
+  ConnectModules();
 }
 
-void NodeState::JoinModules() {
+void NodeState::ConnectModules() {
   outbox.SetOnSend(
       [this](const std::string& peer, const Endpoint& address,
              Context& context) { links.OnSent(peer, address, context); });
@@ -87,11 +88,11 @@
   links.awaits_answer = [this](const std::string& peer) {
     return entry.Awaits(peer);
   };
-  links.on_doubt = [this](const std::string& peer, Context& context) {
+  links.on_unresponsive = [this](const std::string& peer, Context& context) {
     entry.OnPeerQuiet(peer, context);
   };
-  links.on_silent = [this](const std::string& peer, Context& context) {
-    LosePeer(peer, context);
+  links.on_dropped = [this](const std::string& peer, Context& context) {
+    HandlePeerLost(peer, context);
   };
 }
 
@@ -100,7 +101,7 @@
   Context context{identity, now, random, next_id, effects};
   membership.Start(context);
   settings.Start(context);
-  AskForWake(context);
+  RequestWake(context);
   CountPlatformCalls(effects);
   return effects;
 }
@@ -112,12 +113,12 @@
   DeliverLocal(context);
   RunTimers(context);
   DeliverLocal(context);
-  // A host was given to a new process while this one was paused. Its tickets
-  // and claims name this incarnation, so nothing runs twice; but callers and
-  // backend servers belong to the new process now.
+  // A new process took over the host while this one was paused. Tickets and
+  // claims of this process name its incarnation, so nothing runs twice, but the
+  // new process now serves the callers and backend servers.
   if (membership.superseded()) RequestStop(context);
-  ConsiderExit(context);
-  AskForWake(context);
+  ExitIfDrained(context);
+  RequestWake(context);
   CountPlatformCalls(effects);
   return effects;
 }
@@ -126,14 +127,14 @@
   for (const Effect& effect : effects) {
     const auto* call = std::get_if<SendPlatform>(&effect);
     if (call == nullptr) continue;
-    stats.Count("amaranth_platform_calls_total", KindLabelOf(call->request));
+    stats.Count("amaranth_platform_calls_total", KindLabel(call->request));
   }
 }
 
 void NodeState::RefuseCaller(const CallerRequest& event, Reason reason,
                              Context& context) {
   Failure failure;
-  // An earlier asking under the same key may have run through another node.
+  // An earlier request under the same key may have run through another node.
   const bool may_be_resend =
       !identity.rules.ids_name_sendings && IsKeyed(event.request);
   failure.verdict = may_be_resend ? Verdict::kMayHaveRun : Verdict::kNotRun;
@@ -145,15 +146,15 @@
 
 void NodeState::ApplyOne(const CallerRequest& event, Context& context) {
   const std::string& target = event.request.target;
-  const bool announcer = event.from == CallerKind::kAnnouncer;
-  const bool may_announce = announcer || !identity.rules.announce_port;
+  const bool is_announcer = event.from == CallerKind::kAnnouncer;
+  const bool may_announce = is_announcer || !identity.rules.announce_port;
   if (may_announce && target == kAnnouncePath) {
     return serving.OnAnnounce(event.call, event.request, context);
   }
   if (may_announce && target == kLeavePath) {
     return serving.OnLeave(event.call, event.request, context);
   }
-  if (announcer) {
+  if (is_announcer) {
     context.Emit(AnswerCaller{
         event.call, JsonResponse(404, R"({"error":"no such call"})")});
     return;
@@ -189,11 +190,11 @@
 void NodeState::ApplyOne(const PeerLost& event, Context& context) {
   context.Log(
       LogLevel::kWarning, "links",
-      "Link to node " + event.peer + " ended; calls there may have run.");
-  LosePeer(event.peer, context);
+      "Link to node " + event.peer + " closed; calls there may have run.");
+  HandlePeerLost(event.peer, context);
 }
 
-void NodeState::LosePeer(const std::string& peer, Context& context) {
+void NodeState::HandlePeerLost(const std::string& peer, Context& context) {
   links.OnLost(peer);
   entry.OnPeerLost(peer, context);
   serving.OnEntryLost(peer, context);
@@ -226,7 +227,7 @@
 }
 
 void NodeState::ApplyOne(const Tick&, Context&) {
-  wake_asked_ = kNever;  // timers run after every event
+  requested_wake_ = kNever;  // Reduce runs the timers after every event
 }
 
 void NodeState::ApplyOne(const StopRequested&, Context& context) {
@@ -294,7 +295,7 @@
                    claims.next_timer(), links.next_timer()});
 }
 
-void NodeState::ConsiderExit(Context& context) {
+void NodeState::ExitIfDrained(Context& context) {
   if (!stop.requested || stop.exited) return;
   const Duration since = context.now - stop.since;
   if (since >= identity.rules.leave_delay) membership.Leave(context);
@@ -307,7 +308,7 @@
   context.Emit(ExitProcess{membership.superseded_here_by()});
 }
 
-void NodeState::AskForWake(Context& context) {
+void NodeState::RequestWake(Context& context) {
   TimePoint next = NextTimer();
   if (stop.requested && !stop.exited) {
     const TimePoint grace_end = stop.since + identity.rules.leave_grace;
@@ -316,10 +317,10 @@
     const TimePoint leave_at = stop.since + identity.rules.leave_delay;
     if (context.now < leave_at) next = std::min(next, leave_at);
   }
-  // Timers often move later as work ends; an early Tick costs little, so only
-  // an earlier need makes the shell set its timer again.
-  if (next == kNever || next >= wake_asked_) return;
-  wake_asked_ = next;
+  // The next timer often moves later as calls end. An early Tick costs little,
+  // so the shell's timer is set again only for an earlier time.
+  if (next == kNever || next >= requested_wake_) return;
+  requested_wake_ = next;
   context.Emit(WakeAt{next});
 }
 
--- a/src/libnode/node_state.h
+++ b/src/libnode/node_state.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_LIBNODE_NODE_STATE_H_
 #define AMARANTHROUTE_LIBNODE_NODE_STATE_H_
 
-// All of a node's state and how its modules are joined.
+// The state of a node, the wiring of its modules and the dispatch of events to
+// them.
 
 #include <random>
 
@@ -20,7 +21,7 @@
 
 namespace amaranth::pvt {
 
-// Progress of a planned stop.
+// Progress of a graceful shutdown.
 struct StopState {
   bool requested = false;
   TimePoint since{};
@@ -55,7 +56,7 @@
   StopState stop;
 
  private:
-  void JoinModules();
+  void ConnectModules();
   void Apply(const EventBody& body, Context& context);
   void ApplyOne(const CallerRequest& event, Context& context);
   void ApplyOne(const CallerGone& event, Context& context);
@@ -73,17 +74,17 @@
   void Deliver(const NodeRef& from, const PeerMessage& message,
                Context& context);
   void DeliverLocal(Context& context);
-  void LosePeer(const std::string& peer, Context& context);
+  void HandlePeerLost(const std::string& peer, Context& context);
   void RunTimers(Context& context);
-  void ConsiderExit(Context& context);
-  void AskForWake(Context& context);
-  // For metrics.
+  void ExitIfDrained(Context& context);
+  void RequestWake(Context& context);
+  // Counts the platform calls among `effects` for the metrics.
   void CountPlatformCalls(const Effects& effects);
   TimePoint NextTimer() const;
   void RefuseCaller(const CallerRequest& event, Reason reason,
                     Context& context);
 
-  TimePoint wake_asked_ = kNever;
+  TimePoint requested_wake_ = kNever;
 };
 
 }  // namespace amaranth::pvt
--- a/src/libnode/operator_api.cc
+++ b/src/libnode/operator_api.cc
@@ -153,9 +153,9 @@
   return Json{{"history", std::move(versions)}};
 }
 
-// Compares every byte of equally long texts, so that the time taken does not
-// tell a caller how much of a guessed token was right.
-bool SameToken(std::string_view a, std::string_view b) {
+// Compares in constant time for texts of equal length, so that the response
+// time does not show how much of a guessed token was correct.
+bool EqualsInConstantTime(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   unsigned char difference = 0;
   for (size_t i = 0; i < a.size(); ++i) {
@@ -169,7 +169,7 @@
   constexpr std::string_view kBearer = "Bearer ";
   const std::string_view given = FindHeader(request.headers, "Authorization");
   return given.substr(0, kBearer.size()) == kBearer &&
-         SameToken(given.substr(kBearer.size()), token);
+         EqualsInConstantTime(given.substr(kBearer.size()), token);
 }
 
 void ChangeSettings(const OperatorRequest& request, NodeState& state,
@@ -203,8 +203,8 @@
   return response;
 }
 
-HttpResponse Read(const OperatorRequest& request, NodeState& state,
-                  TimePoint now) {
+HttpResponse AnswerRead(const OperatorRequest& request, NodeState& state,
+                        TimePoint now) {
   const std::string& target = request.request.target;
   const std::string_view path = PathOf(target);
   if (path == "/live") return TextResponse(200, "live\n");
@@ -253,7 +253,8 @@
                            Context& context) {
   const HttpRequest& http = request.request;
   if (http.method == "GET") {
-    context.Emit(AnswerCaller{request.call, Read(request, state, context.now)});
+    context.Emit(
+        AnswerCaller{request.call, AnswerRead(request, state, context.now)});
     return;
   }
   if (!Authorized(http, state.identity.operator_token)) {
--- a/src/libnode/operator_api.h
+++ b/src/libnode/operator_api.h
@@ -1,16 +1,17 @@
 #ifndef AMARANTHROUTE_LIBNODE_OPERATOR_API_H_
 #define AMARANTHROUTE_LIBNODE_OPERATOR_API_H_
 
-// The operators' HTTP interface (see docs/operators/): reading state as JSON,
-// and changes that need the operators' token.
+// The operators' HTTP interface (see docs/operators/): GET returns state as
+// JSON or text, POST changes settings or begins a graceful shutdown. POST needs
+// the operators' token if one is configured.
 
 #include "amaranthroute/event.h"
 #include "libnode/node_state.h"
 
 namespace amaranth::pvt {
 
-// Answers the request, or hands a settings change to the store, which answers
-// it later.
+// Answers `request`. A valid change of settings is passed to the settings
+// store, which answers it.
 void HandleOperatorRequest(const OperatorRequest& request, NodeState& state,
                            Context& context);
 
--- a/src/libnode/peer_links.cc
+++ b/src/libnode/peer_links.cc
@@ -5,8 +5,8 @@
 namespace amaranth::pvt {
 namespace {
 
-// How often links are looked at while any has calls outstanding; a fifth of
-// the silence that matters.
+// How often links are checked while any has outstanding calls: less than half
+// of the time after which a link is pinged.
 constexpr Duration kCheckPeriod = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -27,7 +27,7 @@
 void PeerLinks::OnTimer(Context& context) {
   if (context.now < next_check_) return;
   next_check_ = kNever;
-  std::vector<std::string> silent;
+  std::vector<std::string> dropped;
   for (auto& [peer, link] : links_) {
     const bool outstanding = awaits_answer(peer);
     if (outstanding) next_check_ = context.now + kCheckPeriod;
@@ -38,19 +38,19 @@
         context.Emit(SendPeer{peer, link.address, LinkPing{++link.pings}});
         break;
       case ProgressWatch::Action::kDoubt:
-        on_doubt(peer, context);
+        on_unresponsive(peer, context);
         break;
       case ProgressWatch::Action::kDrop:
-        silent.push_back(peer);
+        dropped.push_back(peer);
         break;
     }
   }
-  for (const std::string& peer : silent) {
+  for (const std::string& peer : dropped) {
     links_.erase(peer);
     context.Emit(ClosePeer{peer});
     context.Log(LogLevel::kWarning, "links",
-                "Link to node " + peer + " went silent; dropped.");
-    on_silent(peer, context);
+                "Link to node " + peer + " unresponsive; closed.");
+    on_dropped(peer, context);
   }
 }
 
--- a/src/libnode/peer_links.h
+++ b/src/libnode/peer_links.h
@@ -1,13 +1,14 @@
 #ifndef AMARANTHROUTE_LIBNODE_PEER_LINKS_H_
 #define AMARANTHROUTE_LIBNODE_PEER_LINKS_H_
 
-// Watches the links to other nodes for silence while answers are awaited.
+// Detects unresponsive links to other nodes while answers are awaited.
 //
-// What fails: a middle box forgets an open connection; writes succeed, nothing
-// comes back, and TCP says nothing for minutes while new connections work. A
-// link with calls outstanding and no sign of life is pinged, then dropped; its
-// calls get the verdict "may have run" and idempotent ones go on over a fresh
-// connection. The ping keeps slow servers from looking like dead links.
+// If a middlebox loses the state of an open connection, writes succeed, nothing
+// comes back, and TCP reports no error for minutes, while new connections work.
+// A link with outstanding calls from which nothing is received is pinged, then
+// closed. Its calls get the verdict "may have run", and idempotent ones are
+// retried over a new connection. The ping distinguishes slow servers from dead
+// links.
 
 #include <functional>
 #include <map>
@@ -20,12 +21,13 @@
 
 class PeerLinks {
  public:
-  // Whether an answer is awaited from the peer.
+  // Returns whether an answer of the peer is awaited.
   std::function<bool(const std::string& peer)> awaits_answer;
-  // A link may be dead: nothing was heard since it was pinged.
-  std::function<void(const std::string& peer, Context&)> on_doubt;
-  // A link was given up on; called once the effects say so.
-  std::function<void(const std::string& peer, Context&)> on_silent;
+  // Called when a link is unresponsive: nothing was received since it was
+  // pinged.
+  std::function<void(const std::string& peer, Context&)> on_unresponsive;
+  // Called when a link was dropped, after the effect that closes it.
+  std::function<void(const std::string& peer, Context&)> on_dropped;
 
   void OnSent(const std::string& peer, const Endpoint& address,
               Context& context);
--- a/src/libnode/serving/serving_role.h
+++ b/src/libnode/serving/serving_role.h
@@ -47,8 +47,8 @@
                 Context& context);
   void OnServerReplied(const ServerReplied& replied, Context& context);
   void OnServerFailed(const ServerFailed& failed, Context& context);
-  // Cancels the calls of an entry node whose link was lost: their answers can
-  // no longer be delivered.
+  // Cancels calls of an entry node whose link was lost: their answers can no
+  // longer be delivered.
   void OnEntryLost(const std::string& peer, Context& context);
   void OnTimer(Context& context);
   TimePoint next_timer() const;
