--- a/src/libnode/calls_test.cc
+++ b/src/libnode/calls_test.cc
@@ -201,10 +201,10 @@
   CHECK_EQUAL(1u, RunsOf(fleet, "r1"));
 }
 
-// A call is sent over an unresponsive link, while new connections work. The
-// entry node pings the peer, closes the link, and retries the GET over a new
-// one.
-TEST(Calls, AnUnresponsiveLinkIsDroppedAndAGetRetried) {
+// A call is sent over a link that is unresponsive for 1.9 s, which is shorter
+// than the time after which a link is dropped. The entry node must not fail the
+// call meanwhile; it is answered once the link recovers.
+TEST(Calls, ACallOnAnUnresponsiveLinkIsAnsweredWhenItRecovers) {
   fleet.AddNode("a1", "bilbao-a");
   fleet.AddNode("a2", "bilbao-a");
   fleet.AddServer("a2", MakeServer("s2", "subscriptions"));
--- a/src/libnode/peer_links.h
+++ b/src/libnode/peer_links.h
@@ -7,8 +7,8 @@
 // comes back, and TCP reports no error for minutes, while new connections work.
 // A link with outstanding calls from which nothing is received is pinged, then
 // closed. Its calls get the verdict "may have run", and idempotent ones are
-// retried over a new connection. The ping distinguishes slow servers from dead
-// links.
+// retried over a new connection. The ping distinguishes slow servers from
+// broken links.
 
 #include <functional>
 #include <map>
--- a/src/libnode/serving/hop.h
+++ b/src/libnode/serving/hop.h
@@ -31,7 +31,7 @@
   TimePoint deadline{};
   TimePoint dispatched{};
   TimePoint timeout_at = kNever;
-  // Typical service time without nested calls of calls of this kind, as told
+  // Typical service time without nested calls of calls of this kind, as given
   // by the entry node; 0 if unknown.
   Duration typical_service_time{0};
   HopState state = HopState::kQueued;
