--- a/src/libnode/serving/serving_results.cc
+++ b/src/libnode/serving/serving_results.cc
@@ -152,8 +152,7 @@
   if (hop.cancelled) failure.reason = Reason::kCancelled;
   // An attempt that timed out is no sign of a crash.
   if (HasTimedOut(hop, now)) failure.reason = Reason::kDeadline;
-  failure.detail =
-      "backend server " + hop.server + " did not complete its answer";
+  failure.detail = "backend server " + hop.server + " broke off";
   failure.final = hop.nested_gave_up;
   return failure;
 }
