--- a/src/libnode/fakes/membership_fleet.h
+++ b/src/libnode/fakes/membership_fleet.h
@@ -1,9 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_FAKES_MEMBERSHIP_FLEET_H_
 #define AMARANTHROUTE_LIBNODE_FAKES_MEMBERSHIP_FLEET_H_
 
-// For tests: several Membership objects joined by a scheduler in virtual time
-// that loses, duplicates, delays and reorders datagrams, cuts nodes off from
-// each other, pauses and restarts them.
+// Test fake: several Membership objects connected by a scheduler in virtual
+// time that loses, duplicates, delays and reorders datagrams, partitions the
+// network, and pauses and restarts nodes.
 
 #include <algorithm>
 #include <functional>
@@ -32,8 +32,8 @@
     uint64_t next_id = 1;
     bool running = true;
     bool paused = false;
-    int island = 0;              // hosts talk within one island only
-    std::vector<Delivery> held;  // arrived while paused
+    int partition = 0;  // only hosts of the same partition reach each other
+    std::vector<Delivery> held_deliveries;  // arrived while paused
     uint64_t bytes_sent = 0;
     size_t largest_datagram = 0;
     std::map<std::string, std::pair<uint64_t, uint64_t>> seen_versions;
@@ -47,7 +47,8 @@
   bool platform_up = false;
   bool check_versions = true;
   int deaths_declared = 0;
-  bool versions_rose = true;  // false once any node's view went back
+  // False once any node's record of a member went back to an earlier version.
+  bool versions_rose = true;
 
   Host& Add(const std::string& name, const std::string& data_centre,
             const std::vector<std::string>& seeds = {}) {
@@ -61,7 +62,7 @@
     for (const std::string& seed : seeds) {
       host.identity.seeds.push_back(hosts_[seed].identity.gossip_address);
     }
-    Boot(host);
+    Start(host);
     return host;
   }
 
@@ -76,8 +77,8 @@
     host.identity.node.incarnation = incarnation;
     host.running = true;
     host.paused = false;
-    host.held.clear();
-    Boot(host);
+    host.held_deliveries.clear();
+    Start(host);
   }
 
   void Pause(const std::string& name) { hosts_[name].paused = true; }
@@ -86,9 +87,9 @@
     Host& host = hosts_[name];
     if (!host.paused) return;
     host.paused = false;
-    std::vector<Delivery> held = std::move(host.held);
-    host.held.clear();
-    for (const Delivery& delivery : held) Deliver(host, delivery);
+    std::vector<Delivery> held_deliveries = std::move(host.held_deliveries);
+    host.held_deliveries.clear();
+    for (const Delivery& delivery : held_deliveries) Deliver(host, delivery);
     Deliver(host, std::monostate());
   }
 
@@ -97,14 +98,15 @@
   std::map<std::string, Host>& hosts() { return hosts_; }
   TimePoint now() const { return now_; }
 
-  // Calls `action` with the node's membership as the reducer would.
-  void Do(const std::string& name,
-          const std::function<void(Membership&, Context&)>& action) {
+  // Calls `action` with the node's membership and applies the effects, as the
+  // reducer would.
+  void Invoke(const std::string& name,
+              const std::function<void(Membership&, Context&)>& action) {
     Host& host = hosts_[name];
     Effects effects;
     Context context{host.identity, now_, host.random, host.next_id, effects};
     action(*host.membership, context);
-    CarryOut(host, effects);
+    ApplyEffects(host, effects);
   }
 
   void Run(Duration time) {
@@ -122,7 +124,7 @@
     now_ = end;
   }
 
-  // Runs until `condition` holds; false if it does not within `limit`.
+  // Runs until `condition` holds. Returns false if it does not within `limit`.
   bool RunUntil(const std::function<bool()>& condition, Duration limit) {
     const TimePoint end = now_ + limit;
     while (!condition()) {
@@ -132,8 +134,8 @@
     return true;
   }
 
-  // True if all running nodes have the same view of who is up.
-  bool Agrees() {
+  // Returns true if all running nodes have the same view of which nodes are up.
+  bool ViewsAgree() {
     const Host* first = nullptr;
     for (const auto& [name, host] : hosts_) {
       if (!host.running) continue;
@@ -143,8 +145,8 @@
     return true;
   }
 
-  // True if every running node holds exactly the running nodes for up.
-  bool AgreesWithTruth() {
+  // Returns true if every running node considers exactly the running nodes up.
+  bool ViewsMatchRunningNodes() {
     for (const auto& [name, host] : hosts_) {
       if (!host.running) continue;
       for (const auto& [other, other_host] : hosts_) {
@@ -153,7 +155,7 @@
         if (up != other_host.running) return false;
       }
     }
-    return Agrees();
+    return ViewsAgree();
   }
 
  private:
@@ -171,15 +173,15 @@
 
   uint16_t NextPort() { return next_port_++; }
 
-  void Boot(Host& host) {
+  void Start(Host& host) {
     host.random.seed(random_());
     host.seen_versions.clear();
     host.membership = std::make_unique<Membership>(host.identity);
-    Do(host.identity.node.name,
-       [](Membership& m, Context& context) { m.Start(context); });
+    Invoke(host.identity.node.name,
+           [](Membership& m, Context& context) { m.Start(context); });
   }
 
-  void Push(TimePoint at, const Host& host, Delivery delivery) {
+  void Schedule(TimePoint at, const Host& host, Delivery delivery) {
     queue_.push({at, order_++, host.identity.node.name,
                  host.identity.node.incarnation, std::move(delivery)});
   }
@@ -188,10 +190,10 @@
     if (!host.running) return;
     if (host.paused) {
       const bool timer = std::holds_alternative<std::monostate>(delivery);
-      if (!timer) host.held.push_back(delivery);
+      if (!timer) host.held_deliveries.push_back(delivery);
       return;
     }
-    Do(host.identity.node.name, [&](Membership& m, Context& context) {
+    Invoke(host.identity.node.name, [&](Membership& m, Context& context) {
       if (const auto* gossip = std::get_if<GossipReceived>(&delivery)) {
         m.OnGossip(*gossip, context);
       } else if (const auto* frame = std::get_if<PeerReceived>(&delivery)) {
@@ -204,14 +206,14 @@
     });
   }
 
-  void CarryOut(Host& host, const Effects& effects) {
+  void ApplyEffects(Host& host, const Effects& effects) {
     for (const Effect& effect : effects) {
       if (const auto* gossip = std::get_if<SendGossip>(&effect)) {
-        CarryGossip(host, *gossip);
+        SendDatagram(host, *gossip);
       } else if (const auto* frame = std::get_if<SendPeer>(&effect)) {
-        CarryPeer(host, *frame);
+        SendPeerMessage(host, *frame);
       } else if (const auto* op = std::get_if<SendPlatform>(&effect)) {
-        CarryPlatform(host, *op);
+        RunPlatform(host, *op);
       } else if (const auto* log = std::get_if<WriteLog>(&effect)) {
         const bool death = log->text.find("is dead") != std::string::npos;
         deaths_declared += death ? 1 : 0;
@@ -220,11 +222,11 @@
     if (check_versions) CheckVersions(host);
     const TimePoint timer = host.membership->next_timer();
     if (timer != kNever) {
-      Push(std::max(timer, now_), host, std::monostate());
+      Schedule(std::max(timer, now_), host, std::monostate());
     }
   }
 
-  void CarryGossip(Host& from, const SendGossip& sent) {
+  void SendDatagram(Host& from, const SendGossip& sent) {
     size_t size = kGossipHeaderSize;
     for (const MemberRecord& record : sent.message.updates) {
       size += EncodedSize(record);
@@ -237,16 +239,16 @@
     const auto target = by_gossip_.find(sent.to);
     if (target == by_gossip_.end()) return;
     Host& to = hosts_[target->second];
-    if (to.island != from.island) return;
-    const int copies = Chance(duplication) ? 2 : 1;
+    if (to.partition != from.partition) return;
+    const int copies = RandomBool(duplication) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-      if (Chance(loss)) continue;
-      Push(now_ + Delay(), to,
-           GossipReceived{from.identity.gossip_address, sent.message});
+      if (RandomBool(loss)) continue;
+      Schedule(now_ + RandomDelay(), to,
+               GossipReceived{from.identity.gossip_address, sent.message});
     }
   }
 
-  void CarryPeer(Host& from, const SendPeer& sent) {
+  void SendPeerMessage(Host& from, const SendPeer& sent) {
     const auto& sync = std::get<MemberSync>(sent.message);
     from.bytes_sent += 64 + sync.bucket_hashes.size() * 5;
     for (const MemberRecord& record : sync.members) {
@@ -255,11 +257,12 @@
     const auto target = by_peer_.find(sent.address);
     if (target == by_peer_.end()) return;
     Host& to = hosts_[target->second];
-    if (to.island != from.island || !to.running) return;
-    Push(now_ + max_delay, to, PeerReceived{from.identity.node, sent.message});
+    if (to.partition != from.partition || !to.running) return;
+    Schedule(now_ + max_delay, to,
+             PeerReceived{from.identity.node, sent.message});
   }
 
-  void CarryPlatform(Host& from, const SendPlatform& sent) {
+  void RunPlatform(Host& from, const SendPlatform& sent) {
     PlatformReply reply;
     reply.status =
         platform_up ? PlatformStatus::kOk : PlatformStatus::kUnreachable;
@@ -271,7 +274,7 @@
         reply.peers.push_back(name + "=" + address);
       }
     }
-    Push(now_ + max_delay, from, PlatformReplied{sent.op, reply});
+    Schedule(now_ + max_delay, from, PlatformReplied{sent.op, reply});
   }
 
   void CheckVersions(Host& host) {
@@ -284,11 +287,11 @@
     }
   }
 
-  bool Chance(double probability) {
+  bool RandomBool(double probability) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
   }
 
-  Duration Delay() {
+  Duration RandomDelay() {
     return Duration(std::uniform_int_distribution<int64_t>(
         100, max_delay.count())(random_));
   }
--- a/src/libnode/membership/membership.cc
+++ b/src/libnode/membership/membership.cc
@@ -25,9 +25,10 @@
                      });
 }
 
-// True if work that went to a server of `before` must stop now, or go elsewhere
-// as far as others have room for it.
-bool StopsWork(const MemberRecord& before, const MemberRecord& after) {
+// Returns true if the change makes a server of the member unavailable for new
+// work: the member left or is dead, or a server was removed, drains or became
+// unhealthy.
+bool StopsNewWork(const MemberRecord& before, const MemberRecord& after) {
   if (before.state != MemberState::kLeft && after.state == MemberState::kLeft) {
     return true;
   }
@@ -61,14 +62,14 @@
 void Membership::Start(Context& context) {
   last_now_ = context.now;
   updates_.Add(identity_.node.name, 1);
-  FindPeers(context);
+  DiscoverPeers(context);
   const int64_t offset = std::uniform_int_distribution<int64_t>(
-      0, kPeriod.count())(context.random);
+      0, kProbePeriod.count())(context.random);
   next_period_ = context.now + Duration(offset);
 }
 
 void Membership::OnGossip(const GossipReceived& received, Context& context) {
-  NoticePause(context);
+  DetectPause(context);
   const GossipMessage& message = received.message;
   if (message.from == identity_.node) return;
   for (const MemberRecord& record : message.updates) Merge(record, context);
@@ -78,7 +79,7 @@
     last_heard_[message.from.name] = context.now;
     if (!IsLocal(*sender)) remote_heard_[sender->data_centre] = context.now;
   }
-  SeeSettings(message.from.name, message.settings_version, context);
+  HandleSettingsVersion(message.from.name, message.settings_version, context);
   if (message.settings_confirmed && on_settings_confirmed) {
     on_settings_confirmed(message.settings_version, *message.settings_confirmed,
                           context);
@@ -96,15 +97,15 @@
       OnPingRequest(received, context);
       break;
   }
-  ConsiderSync(message.from, message.membership_hash, context);
+  MaybeStartSync(message.from, message.membership_hash, context);
 }
 
 void Membership::OnTimer(Context& context) {
-  NoticePause(context);
-  if (probe_ && context.now >= probe_->indirect_at) SendIndirect(context);
+  DetectPause(context);
+  if (probe_ && context.now >= probe_->indirect_at) SendIndirectProbes(context);
   if (context.now >= next_push_) PushUrgent(context);
   if (context.now >= next_period_) OnPeriod(context);
-  if (context.now >= next_platform_) FindPeers(context);
+  if (context.now >= next_platform_) DiscoverPeers(context);
   if (context.now >= follow_up_at_) {
     follow_up_at_ = kNever;
     const MemberRecord* peer = Find(follow_up_peer_);
@@ -120,45 +121,45 @@
   TimePoint next =
       std::min({next_period_, next_push_, next_platform_, follow_up_at_});
   if (probe_) next = std::min(next, probe_->indirect_at);
-  for (const auto& [server, heard] : announced_) {
+  for (const auto& [server, heard] : last_announced_) {
     next = std::min(next, heard + identity_.rules.server_lease);
   }
   return next;
 }
 
-// A process that was stopped (SIGSTOP, a frozen machine) still holds probes,
-// suspicions and leases whose time ran out meanwhile. Acting on them would
-// declare live members dead and drop live servers. Everything that waits is
-// started afresh instead, our own record raised above whatever was said of us,
-// and the view counts as unverified until a peer has answered.
-void Membership::NoticePause(Context& context) {
+// A process that was paused (SIGSTOP, a frozen machine) still holds probes,
+// suspicions and leases that expired meanwhile. Acting on them would declare
+// live members dead and drop live servers. Instead, probes are dropped, all
+// pending timeouts are restarted, this node's record gets a new version, and
+// the view counts as unverified until a peer has answered.
+void Membership::DetectPause(Context& context) {
   const TimePoint due = next_timer();
   last_now_ = context.now;
-  if (due == kNever || context.now <= due + kStarved) return;
+  if (due == kNever || context.now <= due + kStarvedTimerDelay) return;
   probe_.reset();
-  if (context.now <= due + kPaused) return;
+  if (context.now <= due + kPausedTimerDelay) return;
   context.Log(LogLevel::kWarning, kMembershipPart,
-              "paused for about " +
+              "process was paused for about " +
                   std::to_string(ToMillis(context.now - due)) +
-                  " ms; asking peers what has changed");
+                  " ms; syncing with peers");
   relays_.clear();
   last_heard_.clear();
   for (auto& [name, suspicion] : suspicions_) {
     suspicion.since = context.now;
     suspicion.deadline = context.now + SuspicionTimeout(context);
-    suspicion.last_chance = false;
+    suspicion.final_ping_sent = false;
   }
-  for (auto& [server, heard] : announced_) heard = context.now;
-  verified_ = UpPeers().empty();
+  for (auto& [server, heard] : last_announced_) heard = context.now;
+  view_verified_ = UpPeers().empty();
   next_period_ = context.now;
   ChangeSelf(Self(), false, context);
-  SyncWithSome(2, context);
+  SyncWithRandomPeers(2, context);
 }
 
 void Membership::AnnounceServer(const ServerRecord& announced,
                                 Context& context) {
   ServerRecord server = announced;
-  announced_[server.server] = context.now;
+  last_announced_[server.server] = context.now;
   MemberRecord self = Self();
   const auto known = FindServer(self, server.server);
   if (known == self.servers.end()) {
@@ -166,11 +167,12 @@
     ChangeSelf(std::move(self), false, context);
     return;
   }
-  // A heartbeat does not undo a drain that was ordered from outside; a new
-  // process, seen by its new address, starts afresh.
-  if (known->address != server.address) told_to_drain_.erase(server.server);
-  if (told_to_drain_.count(server.server) != 0) server.draining = true;
-  // Announcements say nothing of it.
+  // A repeated announcement does not undo a drain ordered by
+  // SetServerDraining(). A new address means a new server process, to which the
+  // order does not apply.
+  if (known->address != server.address) drain_ordered_.erase(server.server);
+  if (drain_ordered_.count(server.server) != 0) server.draining = true;
+  // Announcements carry no fitness.
   if (known->address == server.address) server.fitness = known->fitness;
   if (*known == server) return;
   const bool urgent = server.draining && !known->draining;
@@ -179,8 +181,8 @@
 }
 
 void Membership::RemoveServer(const std::string& server, Context& context) {
-  announced_.erase(server);
-  told_to_drain_.erase(server);
+  last_announced_.erase(server);
+  drain_ordered_.erase(server);
   MemberRecord self = Self();
   const auto known = FindServer(self, server);
   if (known == self.servers.end()) return;
@@ -193,7 +195,7 @@
   MemberRecord self = Self();
   const auto known = FindServer(self, server);
   if (known == self.servers.end()) return;
-  told_to_drain_.insert(server);
+  drain_ordered_.insert(server);
   if (known->draining) return;
   known->draining = true;
   ChangeSelf(std::move(self), true, context);
@@ -206,21 +208,20 @@
   const auto known = FindServer(self, server);
   if (known == self.servers.end() || known->fitness == fitness) return;
   known->fitness = fitness;
-  // That a server is sound again may take its time: callers come back to it
-  // one after the other.
+  // A recovery is not urgent: callers return to the server gradually.
   ChangeSelf(std::move(self), !fitness.sound(), context);
 }
 
 void Membership::ExpireServers(Context& context) {
   std::vector<std::string> expired;
-  for (const auto& [server, heard] : announced_) {
+  for (const auto& [server, heard] : last_announced_) {
     if (context.now >= heard + identity_.rules.server_lease) {
       expired.push_back(server);
     }
   }
   for (const std::string& server : expired) {
     context.Log(LogLevel::kWarning, kMembershipPart,
-                "server " + server + " stopped announcing itself");
+                "server " + server + " sent no announcement within its lease");
     RemoveServer(server, context);
   }
 }
@@ -251,15 +252,15 @@
 void Membership::SetSettingsVersion(uint64_t version) {
   if (version <= settings_version_) return;
   settings_version_ = version;
-  plain_pushes_left_ = kPushes;
+  header_pushes_left_ = kPushRounds;
   next_push_ = std::min(next_push_, last_now_);
 }
 
 void Membership::AddQuarantine(const QuarantineRecord& record,
                                Context& context) {
   if (!quarantines_.Add(record, context.now)) return;
-  to_tell_.push_back(record);
-  plain_pushes_left_ = kPushes;
+  quarantines_to_broadcast_.push_back(record);
+  header_pushes_left_ = kPushRounds;
   next_push_ = std::min(next_push_, context.now);
 }
 
@@ -274,7 +275,7 @@
   table_.Merge(record, context.now);
   updates_.Add(identity_.node.name, UpPeers().size() + 1);
   if (!urgent) return;
-  urgent_[identity_.node.name] = kOwnPushes;
+  urgent_pushes_left_[identity_.node.name] = kOwnPushRounds;
   next_push_ = std::min(next_push_, context.now);
 }
 
@@ -285,26 +286,26 @@
     return;
   }
   const MemberRecord* known = table_.Find(name);
-  // Taking in tombstones of members that we never knew would pass them round
-  // the fleet for ever, each node starting their time anew.
+  // Tombstones of unknown members are not stored: each node would restart their
+  // retention time, so they would circulate in the fleet forever.
   if (known == nullptr && !IsUp(record)) return;
-  const bool stops_work = known != nullptr && StopsWork(*known, record);
+  const bool stops_new_work = known != nullptr && StopsNewWork(*known, record);
   const bool was_up = known != nullptr && IsUp(*known);
   if (!table_.Merge(record, context.now)) return;
-  ++merged_;
+  ++records_merged_;
   if (was_up != IsUp(record)) up_peers_stale_ = true;
-  FollowState(record, context);
+  TrackState(record, context);
   updates_.Add(name, UpPeers().size() + 1);
-  if (!stops_work) return;
-  urgent_[name] = kPushes;
+  if (!stops_new_work) return;
+  urgent_pushes_left_[name] = kPushRounds;
   next_push_ = std::min(next_push_, context.now);
 }
 
-void Membership::FollowState(const MemberRecord& record, Context& context) {
+void Membership::TrackState(const MemberRecord& record, Context& context) {
   const std::string& name = record.node.name;
   if (!IsUp(record)) {
     suspicions_.erase(name);
-    tombstones_[name] = context.now + kTombstoneTime;
+    tombstones_[name] = context.now + kTombstoneRetention;
     return;
   }
   tombstones_.erase(name);
@@ -312,15 +313,15 @@
     suspicions_.erase(name);
     return;
   }
-  if (!IsLocal(record)) return;  // Its own data centre judges.
+  if (!IsLocal(record)) return;  // Only its own data centre declares it dead.
   Suspicion& suspicion = suspicions_[name];
   suspicion.since = context.now;
   suspicion.deadline = context.now + SuspicionTimeout(context);
 }
 
-// Others can only say of us that we are suspect or dead; a newer version of
-// ours shows that we are not. Versions rise above every claim heard, so the
-// claim cannot come back.
+// Handles a record about this node from others, who may consider it suspect or
+// dead. This node refutes that with a version above every version received,
+// so the refuted record cannot supersede it again.
 void Membership::MergeSelf(const MemberRecord& record, Context& context) {
   if (record.node.incarnation > identity_.node.incarnation) {
     if (superseded_) return;
@@ -330,10 +331,11 @@
     }
     context.Log(LogLevel::kError, kMembershipPart,
                 superseded_here_by_ != 0
-                    ? "an earlier process here had a higher incarnation: the "
-                      "clock went back; starting again above it"
-                    : "a later process uses this node's name; this one is "
-                      "retired");
+                    ? "a previous process at this address had a higher "
+                      "incarnation (the clock was set back); restarting with a "
+                      "higher one"
+                    : "a process with a higher incarnation uses this node's "
+                      "name; stopping this one");
     return;
   }
   if (!Supersedes(record, Self())) return;
@@ -353,10 +355,10 @@
   }
 }
 
-void Membership::SeeSettings(const std::string& peer, uint64_t version,
-                             Context& context) {
-  // While we hold none, a peer that holds none either may know more: that
-  // there are none.
+void Membership::HandleSettingsVersion(const std::string& peer,
+                                       uint64_t version, Context& context) {
+  // While this node holds no settings, version 0 from a peer is reported as
+  // well: that peer may know that there are none.
   if (version <= settings_version_ && settings_version_ != 0) return;
   if (on_settings_version) on_settings_version(peer, version, context);
 }
--- a/src/libnode/membership/membership.h
+++ b/src/libnode/membership/membership.h
@@ -1,9 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_MEMBERSHIP_MEMBERSHIP_H_
 #define AMARANTHROUTE_LIBNODE_MEMBERSHIP_MEMBERSHIP_H_
 
-// Who is in the fleet and which backend servers they have, without any list
-// kept elsewhere: SWIM inside a data centre, anti-entropy between data centres.
-// See docs/design/membership.md.
+// Keeps track of the nodes of the fleet and of their backend servers without a
+// central registry: SWIM inside a data centre, anti-entropy between data
+// centres. See docs/design/membership.md.
 
 #include <cstdint>
 #include <functional>
@@ -24,11 +24,13 @@
  public:
   explicit Membership(const NodeIdentity& identity);
 
-  // A peer was heard to hold a settings version above ours, or we hold none.
+  // Called when a peer reports a settings version above this node's, and on
+  // every report while this node holds no settings.
   std::function<void(const std::string& peer, uint64_t version, Context&)>
       on_settings_version;
-  // How long ago the settings in force here were known to be the newest, as
-  // told to and by peers.
+  // `settings_confirmed` returns how long ago this node's settings were known
+  // to be the newest; it is sent to peers. `on_settings_confirmed` is called
+  // with the same figure received from a peer.
   std::function<std::optional<Duration>(TimePoint now)> settings_confirmed;
   std::function<void(uint64_t version, Duration ago, Context&)>
       on_settings_confirmed;
@@ -36,55 +38,59 @@
   void Start(Context& context);
   void OnGossip(const GossipReceived& received, Context& context);
   void OnSync(const NodeRef& from, const MemberSync& sync, Context& context);
-  // True if the reply was to an operation of this module.
+  // Returns true if the reply belongs to an operation of this module.
   bool OnPlatformReplied(const PlatformReplied& replied, Context& context);
   void OnTimer(Context& context);
   TimePoint next_timer() const;
 
-  // A local backend server's announcement. The same content again only keeps
-  // it from expiring; it makes no new version of our record.
+  // Handles a local backend server's announcement. A repeated announcement with
+  // the same content only renews the lease; it makes no new version of this
+  // node's record.
   void AnnounceServer(const ServerRecord& record, Context& context);
   void RemoveServer(const std::string& server, Context& context);
   void SetServerDraining(const std::string& server, Context& context);
-  // How a local backend server does, told to all who call its service.
+  // Sets the fitness of a local backend server, which is published in this
+  // node's record for the nodes that call its service.
   void SetServerFitness(const std::string& server, const ServerFitness& fitness,
                         Context& context);
-  // Drops local servers that have not announced themselves lately.
+  // Removes local servers whose announcement lease has run out.
   void ExpireServers(Context& context);
-  // A planned stop: told to others at once; they send us no new work.
+  // Announces a planned stop to others at once, so that they send no new work.
   void Leave(Context& context);
 
-  // Null if there is no record.
+  // Returns null if there is no record.
   const MemberRecord* Find(const std::string& node_name) const;
-  // Where the node's peer link is dialled; port 0 if there is no record, which
-  // leaves only a link that is open already.
+  // Returns the address for opening a peer link to the node. Its port is 0 if
+  // there is no record; then only a link that is already open can be used.
   Endpoint PeerAddressOf(const std::string& node_name) const;
   const std::map<std::string, MemberRecord>& members() const {
     return table_.members();
   }
-  // Places where new work for `service` may go.
+  // Returns the servers that may be given new work for `service`.
   const std::vector<ServerPlace>& ServersOf(const std::string& service) const {
     return table_.ServersOf(service);
   }
-  // True once any node has ever announced the service.
+  // Returns true once any node is known to have announced the service.
   bool ServiceKnown(const std::string& service) const {
     return table_.ServiceKnown(service);
   }
-  // Names of this data centre's nodes that are up, ours included: all choose
-  // the same delegates from them by hash.
+  // Returns the names of this data centre's nodes that are up, this node
+  // included. All nodes choose the same delegates from them by hash.
   std::vector<std::string> AliveInDataCentre() const;
 
-  // Nodes that are up or were until lately, ours included: those of a data
-  // centre that is cut off may still be at work.
+  // Returns the number of nodes that are up or whose tombstone is still kept,
+  // this node included: nodes of a partitioned data centre may still be
+  // working.
   size_t NodesKnown() const { return table_.members().size(); }
 
   void SetSettingsVersion(uint64_t version);
-  // Shares a crash-making fingerprint with the fleet.
+  // Shares the fingerprint of a request that crashed a server with the fleet.
   void AddQuarantine(const QuarantineRecord& record, Context& context);
   bool IsQuarantined(const std::string& service, uint64_t fingerprint) const {
     return CrashesOf(service, fingerprint) >= kQuarantineCrashes;
   }
-  // Crashes that the fleet knows of for a fingerprint: 1 makes it a suspect.
+  // Returns the number of crashes that the fleet knows of for a fingerprint.
+  // One crash makes it a suspect.
   uint32_t CrashesOf(const std::string& service, uint64_t fingerprint) const {
     return quarantines_.CrashesOf(service, fingerprint);
   }
@@ -94,14 +100,15 @@
 
   uint64_t version() const { return Self().version; }
   uint64_t hash() const { return table_.hash(); }
-  // False from the end of a pause until a peer has answered: what this node
-  // knows may be stale until then.
-  bool view_verified() const { return verified_; }
-  // True if a later incarnation of this node's name runs elsewhere.
+  // Returns false from the end of a pause until a peer has answered: the view
+  // may be stale until then. A node without peers counts as verified.
+  bool view_verified() const { return view_verified_; }
+  // Returns true if a record of this node's name with a higher incarnation has
+  // been received.
   bool superseded() const { return superseded_; }
-  // The incarnation of that process if it ran at this one's address; else 0.
-  // Two processes cannot have one address: it is gone, and its host's clock was
-  // set back before this one was started.
+  // Returns the incarnation of that process if it had this process's peer
+  // address, else 0. Two processes cannot hold one address, so it has ended,
+  // and the host's clock was set back before this process was started.
   uint64_t superseded_here_by() const { return superseded_here_by_; }
 
  private:
@@ -110,52 +117,53 @@
     uint64_t sequence = 0;
     TimePoint indirect_at{};  // kNever once the indirect probes are out
   };
-  // A probe made for another node.
+  // A probe made on behalf of another node.
   struct Relay {
-    Endpoint asker;
-    uint64_t asker_sequence = 0;
+    Endpoint requester;
+    uint64_t requester_sequence = 0;
     TimePoint expires{};
   };
   struct Suspicion {
     TimePoint since{};
     TimePoint deadline{};
-    bool ours = false;         // our own probe failed
-    bool last_chance = false;  // asked once more after the deadline
+    bool own_probe_failed = false;
+    bool final_ping_sent = false;  // pinged once more after the deadline
   };
 
-  // membership.cc: records.
+  // membership.cc: member records.
   const MemberRecord& Self() const;
   void ChangeSelf(MemberRecord record, bool urgent, Context& context);
-  void NoticePause(Context& context);
+  void DetectPause(Context& context);
   void Merge(const MemberRecord& record, Context& context);
   void MergeSelf(const MemberRecord& record, Context& context);
-  void FollowState(const MemberRecord& record, Context& context);
+  void TrackState(const MemberRecord& record, Context& context);
   bool IsLocal(const MemberRecord& record) const;
   void MergeQuarantines(const std::vector<QuarantineRecord>& records);
-  void SeeSettings(const std::string& peer, uint64_t version, Context& context);
+  void HandleSettingsVersion(const std::string& peer, uint64_t version,
+                             Context& context);
 
-  // membership_probe.cc: who is up in this data centre.
+  // membership_probe.cc: failure detection in this data centre.
   void OnPeriod(Context& context);
   void StartProbe(Context& context);
-  void EndProbe(Context& context);
-  void SendIndirect(Context& context);
+  void FailOpenProbe(Context& context);
+  void SendIndirectProbes(Context& context);
   std::string NextProbeTarget(Context& context);
   void MarkSuspect(const std::string& name, Context& context);
   void ExpireSuspects(Context& context);
-  void ProbeSuspects(Context& context);
-  void ForgetGone(Context& context);
+  void PingSuspects(Context& context);
+  void DropExpired(Context& context);
   Duration SuspicionTimeout(Context& context) const;
   void OnAck(const GossipMessage& message, Context& context);
   void OnPingRequest(const GossipReceived& received, Context& context);
 
-  // membership_spread.cc: telling others.
-  static bool IsDrawn(size_t peers, Context& context);
-  void LookForReturned(Context& context);
-  void FindPeers(Context& context);
+  // membership_spread.cc: dissemination and peer discovery.
+  static bool IsRandomlyChosen(size_t peers, Context& context);
+  void PingDepartedMembers(Context& context);
+  void DiscoverPeers(Context& context);
   void Reconnect(Context& context);
   void ContactDataCentres(Context& context);
   void PushUrgent(Context& context);
-  void TellQuarantines(Context& context);
+  void BroadcastQuarantines(Context& context);
   const std::vector<std::string>& UpPeers() const;
   std::vector<std::string> RandomPeers(size_t count, Context& context) const;
   std::vector<std::string> DelegatesOf(const std::string& data_centre) const;
@@ -167,62 +175,65 @@
   void AddQueued(size_t budget, size_t& size, GossipMessage& message);
   void AddQuarantines(size_t& size, GossipMessage& message);
 
-  // membership_sync.cc: exchange of whole buckets.
-  void ConsiderSync(const NodeRef& peer, uint64_t hash, Context& context);
+  // membership_sync.cc: anti-entropy by exchange of record buckets.
+  void MaybeStartSync(const NodeRef& peer, uint64_t hash, Context& context);
   void StartSync(const std::string& name, const Endpoint& address,
                  Context& context);
   void AnswerSync(const NodeRef& from, const MemberSync& sync,
                   Context& context);
-  void FinishSync(const NodeRef& from, const MemberSync& sync, size_t learnt,
-                  Context& context);
-  void SyncWithSome(size_t count, Context& context);
+  void FinishSync(const NodeRef& from, const MemberSync& sync,
+                  size_t records_learned, Context& context);
+  void SyncWithRandomPeers(size_t count, Context& context);
   std::string RandomMemberOf(const std::string& data_centre,
                              Context& context) const;
-  std::vector<MemberRecord> Trim(std::vector<MemberRecord> records,
-                                 const std::string& first_data_centre,
-                                 Context& context);
+  std::vector<MemberRecord> TrimToBudget(std::vector<MemberRecord> records,
+                                         const std::string& first_data_centre,
+                                         Context& context);
 
   NodeIdentity identity_;
   MembershipTable table_;
   UpdateQueue updates_;
   QuarantineList quarantines_;
-  std::vector<QuarantineRecord> to_tell_;  // learned at a crash on this host
+  // Records of crashes on this host that are still to be sent to every node.
+  std::vector<QuarantineRecord> quarantines_to_broadcast_;
   uint64_t settings_version_ = 0;
-  bool verified_ = true;
+  bool view_verified_ = true;
   bool superseded_ = false;
   uint64_t superseded_here_by_ = 0;
   std::optional<TimePoint> started_;
   TimePoint last_now_{};
 
-  std::map<std::string, TimePoint> announced_;  // local servers, last heard
-  std::set<std::string> told_to_drain_;         // local servers
+  // Local servers by name.
+  std::map<std::string, TimePoint> last_announced_;
+  std::set<std::string> drain_ordered_;
 
   TimePoint next_period_ = kNever;
-  uint64_t period_ = 0;
+  uint64_t period_count_ = 0;
   std::optional<Probe> probe_;
   std::vector<std::string> probe_order_;
   std::map<uint64_t, Relay> relays_;
   std::map<std::string, Suspicion> suspicions_;
-  std::map<std::string, TimePoint> last_heard_;  // datagrams, by sender
-  std::map<std::string, TimePoint> tombstones_;  // when to forget
+  std::map<std::string, TimePoint> last_heard_;  // last datagram, by sender
+  std::map<std::string, TimePoint> tombstones_;  // when each expires
 
-  // Urgent news and how many pushes of each are left.
-  std::map<std::string, int> urgent_;
-  int plain_pushes_left_ = 0;  // for the header and quarantines alone
+  // Members with urgent changes and the push rounds left for each.
+  std::map<std::string, int> urgent_pushes_left_;
+  // Push rounds left for the message header and quarantines alone.
+  int header_pushes_left_ = 0;
   TimePoint next_push_ = kNever;
 
   ByteBudget gossip_budget_;
   ByteBudget sync_budget_;
-  bool joined_ = false;  // a peer has answered a sync
-  size_t merged_ = 0;    // records taken in so far
+  bool joined_ = false;        // a peer has answered a sync
+  size_t records_merged_ = 0;  // records stored so far
   TimePoint next_sync_{};
   Duration sync_interval_{0};
   TimePoint mismatch_since_ = kNever;
   TimePoint follow_up_at_ = kNever;
   std::string follow_up_peer_;
   int sync_answers_left_ = 0;
-  std::map<std::string, TimePoint> remote_heard_;  // by data centre
-  std::map<std::string, TimePoint> remote_sync_;   // earliest next one
+  std::map<std::string, TimePoint> remote_heard_;      // by data centre
+  std::map<std::string, TimePoint> next_remote_sync_;  // by data centre
 
   std::optional<PlatformOpId> read_peers_op_;
   std::optional<PlatformOpId> write_peer_op_;
--- a/src/libnode/membership/membership_probe.cc
+++ b/src/libnode/membership/membership_probe.cc
@@ -1,5 +1,5 @@
-// Failure detection inside a data centre, as in SWIM: probe, indirect probe,
-// suspicion, death.
+// SWIM failure detection inside a data centre: probe, indirect probe,
+// suspicion, declaration of death.
 
 #include <algorithm>
 #include <cmath>
@@ -13,28 +13,28 @@
 
 namespace {
 
-constexpr size_t kSuspectsProbed = 3;
-// Holders of one suspicion spread their deadlines, so that the first of them
-// settles it and they do not all probe the suspect at once.
+constexpr size_t kMaxSuspectsPinged = 3;
+// Nodes that hold the same suspicion randomize their deadlines, so that the
+// first of them resolves it and they do not all ping the suspect at once.
 constexpr double kDeadlineSpread = 0.5;
 
 }  // namespace
 
 void Membership::OnPeriod(Context& context) {
-  ++period_;
+  ++period_count_;
   sync_answers_left_ = kSyncAnswersPerPeriod;
-  EndProbe(context);
+  FailOpenProbe(context);
   ExpireSuspects(context);
-  ForgetGone(context);
+  DropExpired(context);
   StartProbe(context);
-  ProbeSuspects(context);
-  if (period_ % kContactPeriods == 0) ContactDataCentres(context);
-  if (period_ % kReconnectPeriods == 0) Reconnect(context);
-  LookForReturned(context);
-  const int64_t tenth = kPeriod.count() / 10;
+  PingSuspects(context);
+  if (period_count_ % kContactPeriods == 0) ContactDataCentres(context);
+  if (period_count_ % kReconnectPeriods == 0) Reconnect(context);
+  PingDepartedMembers(context);
+  const int64_t tenth = kProbePeriod.count() / 10;
   const int64_t jitter =
       std::uniform_int_distribution<int64_t>(-tenth, tenth)(context.random);
-  next_period_ = context.now + kPeriod + Duration(jitter);
+  next_period_ = context.now + kProbePeriod + Duration(jitter);
 }
 
 void Membership::StartProbe(Context& context) {
@@ -42,16 +42,16 @@
   if (target.empty()) return;
   probe_ = Probe{target, context.NextId(), context.now + kAckTimeout};
   Ping(target, probe_->sequence, context);
-  // With more news than one datagram holds, one more is sent.
-  if (updates_.size() > kUpdatesPerDatagram) {
+  // If one datagram cannot hold all queued updates, one more is sent.
+  if (updates_.size() > kTypicalUpdatesPerDatagram) {
     for (const std::string& name : RandomPeers(1, context)) {
       Ping(name, context.NextId(), context);
     }
   }
 }
 
-// Shuffled round-robin: every member is probed once in each round, so the time
-// to first detection is bounded.
+// Shuffled round-robin: every member is probed once per round, which bounds the
+// time to detection.
 std::string Membership::NextProbeTarget(Context& context) {
   if (probe_order_.empty()) {
     probe_order_ = UpPeers();
@@ -66,7 +66,7 @@
   return "";
 }
 
-void Membership::SendIndirect(Context& context) {
+void Membership::SendIndirectProbes(Context& context) {
   probe_->indirect_at = kNever;
   const MemberRecord* target = Find(probe_->target);
   if (target == nullptr) return;
@@ -80,7 +80,7 @@
   }
 }
 
-void Membership::EndProbe(Context& context) {
+void Membership::FailOpenProbe(Context& context) {
   if (!probe_) return;
   const std::string target = probe_->target;
   probe_.reset();
@@ -93,14 +93,14 @@
   MemberRecord suspect = *known;
   suspect.state = MemberState::kSuspect;
   Merge(suspect, context);
-  suspicions_[name].ours = true;
+  suspicions_[name].own_probe_failed = true;
 }
 
 Duration Membership::SuspicionTimeout(Context& context) const {
   const double size = static_cast<double>(UpPeers().size()) + 1;
   const double periods = kSuspicionFactor * std::log10(std::max(size, 10.0));
-  const Duration scaled(static_cast<int64_t>(periods * kPeriod.count()));
-  const Duration base = std::max(scaled, kMinSuspicion);
+  const Duration scaled(static_cast<int64_t>(periods * kProbePeriod.count()));
+  const Duration base = std::max(scaled, kMinSuspicionTimeout);
   const double spread = std::uniform_real_distribution<double>(
       0, kDeadlineSpread)(context.random);
   return base + Duration(static_cast<int64_t>(spread * base.count()));
@@ -111,38 +111,41 @@
   for (auto& [name, suspicion] : suspicions_) {
     if (context.now < suspicion.deadline) continue;
     const auto heard = last_heard_.find(name);
-    const bool lives =
+    const bool heard_since =
         heard != last_heard_.end() && heard->second > suspicion.since;
-    if (!lives && suspicion.last_chance) {
+    if (!heard_since && suspicion.final_ping_sent) {
       dead.push_back(name);
       continue;
     }
-    // Heard directly since, or not asked by us yet: we ask ourselves before we
-    // call anybody dead.
-    suspicion.last_chance = !lives;
-    if (lives) suspicion.since = context.now;
-    suspicion.deadline = context.now + 2 * kPeriod;
+    // The suspect was heard from since, or this node has not pinged it after
+    // the deadline. It is pinged before it is declared dead.
+    suspicion.final_ping_sent = !heard_since;
+    if (heard_since) suspicion.since = context.now;
+    suspicion.deadline = context.now + 2 * kProbePeriod;
     Ping(name, context.NextId(), context);
   }
   for (const std::string& name : dead) {
     MemberRecord record = *Find(name);
     record.state = MemberState::kDead;
-    context.Log(LogLevel::kWarning, kMembershipPart, name + " is dead");
+    context.Log(LogLevel::kWarning, kMembershipPart,
+                name + " is dead: no answer within the suspicion timeout");
     Merge(record, context);
   }
 }
 
-// Each ping to a suspect carries the suspicion, so it can refute it.
-void Membership::ProbeSuspects(Context& context) {
+// Each ping to a suspect carries the suspicion, so that the suspect can refute
+// it.
+void Membership::PingSuspects(Context& context) {
   size_t probed = 0;
   for (const auto& [name, suspicion] : suspicions_) {
-    const bool asked_again = suspicion.ours || suspicion.last_chance;
-    if (!asked_again || ++probed > kSuspectsProbed) continue;
+    const bool needs_ping =
+        suspicion.own_probe_failed || suspicion.final_ping_sent;
+    if (!needs_ping || ++probed > kMaxSuspectsPinged) continue;
     Ping(name, context.NextId(), context);
   }
 }
 
-void Membership::ForgetGone(Context& context) {
+void Membership::DropExpired(Context& context) {
   for (auto entry = tombstones_.begin(); entry != tombstones_.end();) {
     if (context.now < entry->second) {
       ++entry;
@@ -150,7 +153,7 @@
     }
     table_.Erase(entry->first);
     updates_.Remove(entry->first);
-    urgent_.erase(entry->first);
+    urgent_pushes_left_.erase(entry->first);
     last_heard_.erase(entry->first);
     entry = tombstones_.erase(entry);
   }
@@ -161,25 +164,25 @@
 }
 
 void Membership::OnAck(const GossipMessage& message, Context& context) {
-  if (message.sequence == 0) return;  // A push; it asks for nothing.
+  if (message.sequence == 0) return;  // A push, which answers no ping.
   if (probe_ && probe_->sequence == message.sequence) {
     probe_.reset();
-    verified_ = true;
+    view_verified_ = true;
     return;
   }
   const auto relay = relays_.find(message.sequence);
   if (relay == relays_.end()) return;
-  context.Emit(
-      SendGossip{relay->second.asker,
-                 BuildMessage(GossipKind::kAck, relay->second.asker_sequence)});
+  context.Emit(SendGossip{
+      relay->second.requester,
+      BuildMessage(GossipKind::kAck, relay->second.requester_sequence)});
   relays_.erase(relay);
 }
 
 void Membership::OnPingRequest(const GossipReceived& received,
                                Context& context) {
   const uint64_t sequence = context.NextId();
-  relays_[sequence] =
-      Relay{received.from, received.message.sequence, context.now + kRelayTime};
+  relays_[sequence] = Relay{received.from, received.message.sequence,
+                            context.now + kRelayTimeout};
   context.Emit(SendGossip{received.message.target_address,
                           BuildMessage(GossipKind::kPing, sequence)});
 }
--- a/src/libnode/membership/membership_property_test.cc
+++ b/src/libnode/membership/membership_property_test.cc
@@ -26,14 +26,14 @@
              << step.time_ms << " ms}";
 }
 
-std::string Name(int index) { return "n" + std::to_string(index); }
+std::string NodeName(int index) { return "n" + std::to_string(index); }
 
 void Apply(MembershipFleet& fleet, const Step& step) {
-  const std::string name = Name(step.node);
+  const std::string name = NodeName(step.node);
   MembershipFleet::Host& host = fleet.host(name);
   switch (step.action) {
     case 0:
-      host.island = 1 - host.island;
+      host.partition = 1 - host.partition;
       break;
     case 1:
       if (host.running) fleet.Pause(name);
@@ -49,14 +49,14 @@
       break;
     case 5:
       if (!host.running || host.paused) break;
-      fleet.Do(name, [](Membership& m, Context& context) {
+      fleet.Invoke(name, [](Membership& m, Context& context) {
         m.AnnounceServer({"s", "catalogue", {"127.0.0.1", 80}, 10, false, {}},
                          context);
       });
       break;
     default:
       if (!host.running || host.paused) break;
-      fleet.Do(name, [](Membership& m, Context& context) {
+      fleet.Invoke(name, [](Membership& m, Context& context) {
         m.SetServerDraining("s", context);
       });
       break;
@@ -74,7 +74,7 @@
 void Heal(MembershipFleet& fleet) {
   fleet.loss = 0;
   for (auto& [name, host] : fleet.hosts()) {
-    host.island = 0;
+    host.partition = 0;
     if (host.running) fleet.Resume(name);
   }
 }
@@ -83,31 +83,32 @@
 
 TEST_GROUP(MembershipProperties){};
 
-// Whatever is cut, paused, killed and restarted in whatever order under loss,
-// no node's view of a member goes back, and once all is whole again every node
-// sees exactly those that run.
-TEST(MembershipProperties, VersionsRiseAndViewsMeet) {
-  CHECK(rc::check("versions rise, views meet", [] {
+// Checks that under any sequence of partitions, pauses, kills and restarts,
+// with datagram loss, no node's record of a member goes back to an earlier
+// version, and that after all faults have ended every node sees exactly the
+// running nodes as up.
+TEST(MembershipProperties, VersionsNeverDecreaseAndViewsConverge) {
+  CHECK(rc::check("versions never decrease, views converge", [] {
     const uint64_t seed = *rc::gen::arbitrary<uint64_t>();
     const auto steps = *rc::gen::container<std::vector<Step>>(AnyStep());
     MembershipFleet fleet(seed);
     fleet.loss = 0.1;
     fleet.duplication = 0.1;
     for (int i = 0; i < kNodes; ++i) {
-      fleet.Add(Name(i), i % 2 == 0 ? "derby" : "telford",
+      fleet.Add(NodeName(i), i % 2 == 0 ? "derby" : "telford",
                 i == 0 ? std::vector<std::string>()
-                       : std::vector<std::string>{Name(0), Name(1)});
+                       : std::vector<std::string>{NodeName(0), NodeName(1)});
     }
     fleet.Run(seconds(5));
     for (const Step& step : steps) Apply(fleet, step);
     Heal(fleet);
-    // Somebody of each data centre has to be left to judge the others.
+    // Each data centre needs a running node that detects its dead nodes.
     for (int i = 0; i < 2; ++i) {
-      if (!fleet.host(Name(i)).running) fleet.Restart(Name(i));
+      if (!fleet.host(NodeName(i)).running) fleet.Restart(NodeName(i));
     }
-    const bool met =
-        fleet.RunUntil([&] { return fleet.AgreesWithTruth(); }, seconds(90));
-    RC_ASSERT(met);
+    const bool converged = fleet.RunUntil(
+        [&] { return fleet.ViewsMatchRunningNodes(); }, seconds(90));
+    RC_ASSERT(converged);
     RC_ASSERT(fleet.versions_rose);
   }));
 }
--- a/src/libnode/membership/membership_spread.cc
+++ b/src/libnode/membership/membership_spread.cc
@@ -1,5 +1,5 @@
-// Telling others: what a datagram carries, pushes of urgent news, contact with
-// other data centres, and finding peers when there are none.
+// Dissemination: contents of datagrams, pushes of urgent changes, contact with
+// other data centres, and discovery of peers.
 
 #include <algorithm>
 #include <random>
@@ -16,9 +16,9 @@
 constexpr char kDelegateKey[] = "membership-delegates";
 constexpr size_t kQuarantinesPerDatagram = 4;
 constexpr size_t kSeedsAtOnce = 5;
-constexpr size_t kReconnectors = 3;
+constexpr size_t kMeanReconnectors = 3;
 
-// The names in random order, `count` of them at most.
+// Returns at most `count` of the names, chosen at random, in random order.
 std::vector<std::string> Sample(const std::vector<std::string>& names,
                                 size_t count, Random& random) {
   std::vector<std::string> chosen;
@@ -28,7 +28,8 @@
   return chosen;
 }
 
-// "name=ip:port" as the platform lists peers; false if it is not that.
+// Parses a "name=ip:port" row of the platform's peer list. Returns false if it
+// is malformed.
 bool ParsePeer(const std::string& row, std::string& name, Endpoint& address) {
   const size_t equals = row.find('=');
   const size_t colon = row.rfind(':');
@@ -99,11 +100,12 @@
   message.membership_hash = table_.hash();
   size_t size = kGossipHeaderSize;
   AddRecord(Self(), size, message);
-  // A receiver that we hold for suspect or dead must hear it, to refute it.
+  // A receiver that is considered suspect or dead has to learn of it to refute
+  // it.
   if (receiver != nullptr && receiver->state != MemberState::kAlive) {
     AddRecord(*receiver, size, message);
   }
-  const size_t allowed = size + gossip_budget_.Left(last_now_);
+  const size_t allowed = size + gossip_budget_.Available(last_now_);
   const size_t before = size;
   AddQueued(std::min(allowed, kDatagramBudget), size, message);
   gossip_budget_.Spend(size - before);
@@ -121,7 +123,7 @@
 
 void Membership::AddQueued(size_t budget, size_t& size,
                            GossipMessage& message) {
-  for (const std::string& name : updates_.InOrder()) {
+  for (const std::string& name : updates_.LeastSentFirst()) {
     const MemberRecord* record = Find(name);
     if (record == nullptr) {
       updates_.Remove(name);
@@ -131,7 +133,7 @@
     const size_t more = EncodedSize(*record);
     if (!is_self && size + more > budget) break;
     if (!is_self) AddRecord(*record, size, message);
-    updates_.Told(name);
+    updates_.CountTransmission(name);
   }
 }
 
@@ -145,30 +147,32 @@
   }
 }
 
-// A caller sends a poison request again within milliseconds, to any node.
-// Gossip from neighbour to neighbour loses that race, and each lost race costs
-// a backend server; so the node that learned of it tells every node itself, one
-// datagram each. Crashes are rare: at 1,600 nodes this is about 200 KB for one.
-void Membership::TellQuarantines(Context& context) {
-  if (to_tell_.empty()) return;
+// A caller may resend a request that crashed a server within milliseconds, to
+// any node. Gossip between neighbours is slower than that, and each resend that
+// arrives first crashes a backend server. So the node that detected the crash
+// sends every node a datagram itself. Crashes are rare: with 1,600 nodes one
+// costs about 200 KB.
+void Membership::BroadcastQuarantines(Context& context) {
+  if (quarantines_to_broadcast_.empty()) return;
   GossipMessage message = BuildMessage(GossipKind::kAck, 0);
   message.updates.clear();
-  message.quarantines = std::move(to_tell_);
-  to_tell_.clear();
+  message.quarantines = std::move(quarantines_to_broadcast_);
+  quarantines_to_broadcast_.clear();
   for (const auto& [name, record] : table_.members()) {
     if (name == identity_.node.name || !IsUp(record)) continue;
     context.Emit(SendGossip{record.gossip_address, message});
   }
 }
 
-// Probes alone tell one member each period, which is too slow for news that
-// stops work: everybody who learns it passes it on at once to a few.
+// Probes alone reach one member per period, which is too slow for changes that
+// stop new work, so each node that learns of one pushes it at once to a few
+// others.
 void Membership::PushUrgent(Context& context) {
-  TellQuarantines(context);
-  const bool ours = urgent_.count(identity_.node.name) != 0;
+  BroadcastQuarantines(context);
+  const bool own_change = urgent_pushes_left_.count(identity_.node.name) != 0;
   std::vector<std::string> targets =
-      RandomPeers(ours ? kOwnPushFanout : kPushFanout, context);
-  if (ours) {
+      RandomPeers(own_change ? kOwnPushFanout : kPushFanout, context);
+  if (own_change) {
     for (const std::string& data_centre : table_.DataCentres()) {
       if (data_centre == identity_.data_centre) continue;
       for (std::string& name : DelegatesOf(data_centre)) {
@@ -180,7 +184,7 @@
   message.updates.clear();
   size_t size = kGossipHeaderSize + kQuarantinesPerDatagram * 64;
   AddRecord(Self(), size, message);
-  for (const auto& [name, left] : urgent_) {
+  for (const auto& [name, left] : urgent_pushes_left_) {
     const MemberRecord* record = Find(name);
     if (record != nullptr && name != identity_.node.name) {
       AddRecord(*record, size, message);
@@ -189,18 +193,20 @@
   for (const std::string& name : targets) {
     context.Emit(SendGossip{Find(name)->gossip_address, message});
   }
-  for (auto entry = urgent_.begin(); entry != urgent_.end();) {
-    entry = --entry->second <= 0 ? urgent_.erase(entry) : std::next(entry);
+  for (auto entry = urgent_pushes_left_.begin();
+       entry != urgent_pushes_left_.end();) {
+    entry = --entry->second <= 0 ? urgent_pushes_left_.erase(entry)
+                                 : std::next(entry);
   }
-  if (plain_pushes_left_ > 0) --plain_pushes_left_;
-  const bool more = !urgent_.empty() || plain_pushes_left_ > 0;
+  if (header_pushes_left_ > 0) --header_pushes_left_;
+  const bool more = !urgent_pushes_left_.empty() || header_pushes_left_ > 0;
   next_push_ = more ? context.now + kPushInterval : kNever;
 }
 
-// Delegates ask the delegates of the other data centres for their hash (on the
-// ack) each second; only a difference costs a sync. A data centre that has
-// gone silent is asked anywhere, in case its delegates as we know them are
-// gone for good.
+// Each second, delegates ping a delegate of each other data centre, whose ack
+// carries its table hash; only a difference costs a sync. If a data centre is
+// unresponsive, any of its members may be pinged, in case all delegates known
+// here have been replaced.
 void Membership::ContactDataCentres(Context& context) {
   const std::vector<std::string> own = DelegatesOf(identity_.data_centre);
   if (std::find(own.begin(), own.end(), identity_.node.name) == own.end()) {
@@ -210,7 +216,7 @@
     if (data_centre == identity_.data_centre) continue;
     std::vector<std::string> candidates = DelegatesOf(data_centre);
     const auto heard = remote_heard_.emplace(data_centre, context.now).first;
-    if (context.now > heard->second + kRemoteSilence) {
+    if (context.now > heard->second + kRemoteTimeout) {
       for (const auto& [name, record] : table_.members()) {
         if (record.data_centre == data_centre && IsUp(record)) {
           candidates.push_back(name);
@@ -223,20 +229,21 @@
   }
 }
 
-// Of the node and its `peers`, kReconnectors are drawn in the mean.
-bool Membership::IsDrawn(size_t peers, Context& context) {
+// Returns true with a probability at which, on average, kMeanReconnectors nodes
+// are chosen among this node and its `peers`.
+bool Membership::IsRandomlyChosen(size_t peers, Context& context) {
   return std::uniform_int_distribution<size_t>(0, peers)(context.random) <
-         kReconnectors;
+         kMeanReconnectors;
 }
 
-// After a cut inside a data centre each half holds the other for dead and
-// probes it no more; somebody has to ask again or they stay apart for ever.
-// A few of many nodes do it each time: if all did, the seeds would answer each
+// After a partition inside a data centre each half considers the other dead
+// and no longer probes it; without further pings they would never rejoin. Only
+// a few nodes do so each time: if all did, the seeds would have to answer every
 // node of the fleet every two seconds.
 void Membership::Reconnect(Context& context) {
   const size_t peers = UpPeers().size();
   const bool alone = peers == 0;
-  if (!IsDrawn(peers, context) && !alone) return;
+  if (!IsRandomlyChosen(peers, context) && !alone) return;
   std::vector<std::string> dead;
   for (const auto& [name, until] : tombstones_) {
     const MemberRecord* record = Find(name);
@@ -258,20 +265,20 @@
   }
 }
 
-// A node that left as planned is often started again at once, at the same
-// addresses. While the platform is away it can find nobody by itself, and a
-// node that has left is probed no more: its server would be missing for as long
-// as the platform is.
-void Membership::LookForReturned(Context& context) {
+// A node that left as planned is often restarted at once, at the same
+// addresses. While the platform is unreachable it may be unable to discover
+// peers, and a node that has left is no longer probed, so its servers would be
+// missing until the platform is back.
+void Membership::PingDepartedMembers(Context& context) {
   if (tombstones_.empty()) return;
   const size_t peers = UpPeers().size();
   for (const auto& [name, until] : tombstones_) {
-    if (context.now >= until - kTombstoneTime + kReturnTime) continue;
-    if (IsDrawn(peers, context)) Ping(name, context.NextId(), context);
+    if (context.now >= until - kTombstoneRetention + kReturnPingTime) continue;
+    if (IsRandomlyChosen(peers, context)) Ping(name, context.NextId(), context);
   }
 }
 
-void Membership::FindPeers(Context& context) {
+void Membership::DiscoverPeers(Context& context) {
   Reconnect(context);
   next_platform_ = kNever;
   if (!identity_.use_platform) return;
@@ -279,13 +286,14 @@
   if (!alone && peer_row_written_) return;
   next_platform_ = context.now + platform_interval_;
   platform_interval_ = std::min(platform_interval_ * 2, kMaxPlatformInterval);
-  // When a whole region starts at once, each node asking for everything at once
-  // is thousands of calls in one second on a table that takes a few hundred.
-  // The seeds are asked first, and the rows are written spread out by hash.
+  // If a whole region starts at once and each node sends all its operations
+  // immediately, the table gets thousands of operations in one second and can
+  // take a few hundred. So the seeds are asked first, and the row writes are
+  // spread over time by hash.
   if (!started_) started_ = context.now;
   const Duration up_for = context.now - *started_;
   const bool seeds_failed =
-      identity_.seeds.empty() || up_for >= kSeedsBeforePlatform;
+      identity_.seeds.empty() || up_for >= kSeedTimeoutBeforePlatform;
   const Duration row_delay(Hash64(identity_.node.name) %
                            static_cast<uint64_t>(std::max<int64_t>(
                                1, identity_.rules.peer_row_spread.count())));
--- a/src/libnode/membership/membership_table.cc
+++ b/src/libnode/membership/membership_table.cc
@@ -9,14 +9,14 @@
 
 namespace {
 
-// A member's content only changes with its version, so name, incarnation and
-// version stand for the whole record.
+// A record's content changes only with its version, so name, incarnation and
+// version identify the whole record.
 uint64_t RecordHash(const MemberRecord& record) {
   const uint64_t seed = record.node.incarnation * 0x9E3779B97F4A7C15ull;
   return Hash64(record.node.name, seed ^ record.version);
 }
 
-bool PlaceBefore(const ServerPlace& a, const ServerPlace& b) {
+bool OrderedBefore(const ServerPlace& a, const ServerPlace& b) {
   return std::tie(a.node, a.server) < std::tie(b.node, b.server);
 }
 
@@ -55,7 +55,7 @@
     if (!Supersedes(record, found->second)) return false;
     Unindex(found->second);
     ToggleHash(found->second);
-    ForgetGoneServers(found->second, record);
+    ForgetRemovedServers(found->second, record);
     found->second = record;
   }
   ToggleHash(record);
@@ -68,7 +68,7 @@
   if (found == members_.end()) return;
   Unindex(found->second);
   ToggleHash(found->second);
-  ForgetGoneServers(found->second, MemberRecord());
+  ForgetRemovedServers(found->second, MemberRecord());
   members_.erase(found);
 }
 
@@ -105,7 +105,7 @@
   return digest;
 }
 
-std::vector<MemberRecord> MembershipTable::RecordsWhereDiffers(
+std::vector<MemberRecord> MembershipTable::RecordsInDifferingBuckets(
     const std::vector<uint32_t>& theirs) const {
   const std::vector<uint32_t> ours = BucketHashes();
   const bool all = theirs.size() != ours.size();
@@ -117,10 +117,11 @@
   return records;
 }
 
-// A server that went away and comes back is cold again, as is one of a
-// restarted node: kept first sights would send it a full share at once.
-void MembershipTable::ForgetGoneServers(const MemberRecord& before,
-                                        const MemberRecord& after) {
+// A server that was removed and returns is cold again, as is a server of a
+// restarted node. If its first-seen time were kept, it would get a full share
+// of work at once.
+void MembershipTable::ForgetRemovedServers(const MemberRecord& before,
+                                           const MemberRecord& after) {
   for (const ServerRecord& server : before.servers) {
     const bool kept = before.node == after.node &&
                       std::any_of(after.servers.begin(), after.servers.end(),
@@ -161,7 +162,7 @@
     place.fitness = server.fitness;
     place.first_seen = first_seen;
     places.insert(
-        std::upper_bound(places.begin(), places.end(), place, PlaceBefore),
+        std::upper_bound(places.begin(), places.end(), place, OrderedBefore),
         place);
   }
 }
--- a/src/libnode/membership/membership_updates.cc
+++ b/src/libnode/membership/membership_updates.cc
@@ -7,17 +7,17 @@
 
 namespace {
 
-// Field headers, list headers and lengths of a record, and the varints of its
-// numbers at their longest.
+// Field headers, list headers and string lengths of a record, and its numbers
+// as varints of maximum length.
 constexpr size_t kRecordOverhead = 56;
 constexpr size_t kServerOverhead = 24;
 constexpr size_t kQuarantineOverhead = 24;
 constexpr double kTransmissionsPerLog = 4.0;
 constexpr size_t kMaxQuarantines = 1024;
-// An operator who has mended the service, or a caller wrongly suspected, is
-// not shut out for longer. The same spans as CrashGuard's own.
-constexpr Duration kSuspectLife = std::chrono::minutes(10);
-constexpr Duration kQuarantineLife = std::chrono::minutes(30);
+// Limit how long requests are refused after the service was fixed, or a
+// fingerprint wrongly suspected. The same times as in CrashGuard.
+constexpr Duration kSuspectLifetime = std::chrono::minutes(10);
+constexpr Duration kQuarantineLifetime = std::chrono::minutes(30);
 
 }  // namespace
 
@@ -38,20 +38,20 @@
 
 void UpdateQueue::Add(const std::string& name, size_t cluster_size) {
   const double log_size = std::log10(static_cast<double>(cluster_size) + 1);
-  if (left_.size() >= kMaxQueued && left_.count(name) == 0) {
-    const auto told_most = std::min_element(
-        left_.begin(), left_.end(),
+  if (sends_left_.size() >= kMaxQueued && sends_left_.count(name) == 0) {
+    const auto most_transmitted = std::min_element(
+        sends_left_.begin(), sends_left_.end(),
         [](const auto& a, const auto& b) { return a.second < b.second; });
-    left_.erase(told_most);
+    sends_left_.erase(most_transmitted);
   }
-  left_[name] =
+  sends_left_[name] =
       std::max(3, static_cast<int>(std::ceil(kTransmissionsPerLog * log_size)));
 }
 
-std::vector<std::string> UpdateQueue::InOrder() const {
+std::vector<std::string> UpdateQueue::LeastSentFirst() const {
   std::vector<std::pair<int, std::string>> sorted;
-  sorted.reserve(left_.size());
-  for (const auto& [name, left] : left_) sorted.emplace_back(-left, name);
+  sorted.reserve(sends_left_.size());
+  for (const auto& [name, left] : sends_left_) sorted.emplace_back(-left, name);
   std::sort(sorted.begin(), sorted.end());
   std::vector<std::string> names;
   names.reserve(sorted.size());
@@ -59,23 +59,23 @@
   return names;
 }
 
-void UpdateQueue::Told(const std::string& name) {
-  const auto found = left_.find(name);
-  if (found == left_.end()) return;
-  if (--found->second <= 0) left_.erase(found);
+void UpdateQueue::CountTransmission(const std::string& name) {
+  const auto found = sends_left_.find(name);
+  if (found == sends_left_.end()) return;
+  if (--found->second <= 0) sends_left_.erase(found);
 }
 
-size_t ByteBudget::Left(TimePoint now) {
+size_t ByteBudget::Available(TimePoint now) {
   const double seconds = std::chrono::duration<double>(now - refilled_).count();
   refilled_ = now;
-  left_ = std::min(burst_, left_ + std::max(0.0, seconds) * rate_);
-  return left_ <= 0 ? 0 : static_cast<size_t>(left_);
+  available_ = std::min(burst_, available_ + std::max(0.0, seconds) * rate_);
+  return available_ <= 0 ? 0 : static_cast<size_t>(available_);
 }
 
 bool QuarantineList::MakeRoom() {
   if (entries_.size() < kMaxQuarantines) return true;
-  // Suspects are many after a crash; they must not keep out a fingerprint that
-  // is proved to crash servers.
+  // A crash leaves many suspects. They must not keep out a fingerprint that is
+  // quarantined for repeated crashes.
   for (auto it = entries_.begin(); it != entries_.end(); ++it) {
     if (it->second.crashes >= kQuarantineCrashes) continue;
     entries_.erase(it);
@@ -89,11 +89,13 @@
   const uint32_t known = CrashesOf(record.service, record.fingerprint);
   if (record.crashes <= known) return false;
   if (known == 0 && !MakeRoom()) return false;
-  const bool proved = record.crashes >= kQuarantineCrashes;
-  const Duration full = proved ? kQuarantineLife : kSuspectLife;
+  const bool is_quarantined = record.crashes >= kQuarantineCrashes;
+  const Duration lifetime =
+      is_quarantined ? kQuarantineLifetime : kSuspectLifetime;
   const bool is_new = record.remaining.count() <= 0;
-  const Duration left = is_new ? full : std::min(full, record.remaining);
-  entries_[key] = Entry{record.crashes, now + left};
+  const Duration remaining =
+      is_new ? lifetime : std::min(lifetime, record.remaining);
+  entries_[key] = Entry{record.crashes, now + remaining};
   return true;
 }
 
--- a/src/libnode/membership/membership_updates.h
+++ b/src/libnode/membership/membership_updates.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBNODE_MEMBERSHIP_MEMBERSHIP_UPDATES_H_
 #define AMARANTHROUTE_LIBNODE_MEMBERSHIP_MEMBERSHIP_UPDATES_H_
 
-// What rides on gossip datagrams: fresh records for a limited number of
-// transmissions, and the fleet's quarantined fingerprints.
+// Payload piggybacked on gossip datagrams: changed records, each for a limited
+// number of transmissions, and the fleet's quarantined fingerprints.
 
 #include <cstdint>
 #include <map>
@@ -15,69 +15,71 @@
 
 namespace amaranth::pvt {
 
-// Datagrams stay below what any path carries unfragmented: a lost fragment
-// loses the whole datagram, so a probe would fail more often just because much
-// is being told.
+// Limits datagrams to a size that every path carries unfragmented. A lost
+// fragment loses the whole datagram, so probes would fail more often only
+// because they carry many records.
 inline constexpr size_t kDatagramBudget = 1300;
 
-// Upper bounds of the encoded size in bytes (Thrift compact protocol).
+// Return upper bounds of the encoded size in bytes (Thrift compact protocol).
 size_t EncodedSize(const MemberRecord& record);
 size_t EncodedSize(const QuarantineRecord& record);
 inline constexpr size_t kGossipHeaderSize = 160;
-// Records of a usual size that fit next to the sender's own.
-inline constexpr size_t kUpdatesPerDatagram = 5;
+// Number of records of a typical size that fit next to the sender's own.
+inline constexpr size_t kTypicalUpdatesPerDatagram = 5;
 
-// Names of members whose records are still to be told. A record is told about
-// 4 log10(n) times by each node that learnt it, which reaches all with high
-// probability; the sync by hash repairs the rest.
+// Names of members whose records are still to be sent. Each node that learned a
+// record sends it about 4 log10(n) times, which reaches all nodes with high
+// probability; syncs repair the rest.
 //
-// At most kMaxQueued wait: when whole regions change, telling everything by
-// datagram would take longer than the sync, which is cheaper by the record.
+// At most kMaxQueued names are queued: when whole regions change, sending every
+// record by datagram would take longer than syncs, which cost less per record.
 class UpdateQueue {
  public:
   static constexpr size_t kMaxQueued = 64;
 
   void Add(const std::string& name, size_t cluster_size);
-  void Remove(const std::string& name) { left_.erase(name); }
-  bool empty() const { return left_.empty(); }
-  size_t size() const { return left_.size(); }
-  // Names to tell now, those told least first.
-  std::vector<std::string> InOrder() const;
-  // One transmission of `name` was made.
-  void Told(const std::string& name);
+  void Remove(const std::string& name) { sends_left_.erase(name); }
+  bool empty() const { return sends_left_.empty(); }
+  size_t size() const { return sends_left_.size(); }
+  // Returns the names in order of transmissions left, most first.
+  std::vector<std::string> LeastSentFirst() const;
+  // Counts one transmission of `name`; removes it after the last.
+  void CountTransmission(const std::string& name);
 
  private:
-  std::map<std::string, int> left_;
+  std::map<std::string, int> sends_left_;
 };
 
-// Limits the bytes spent on telling records to a rate, with a burst.
+// Token bucket that limits the bytes spent on sending records.
 class ByteBudget {
  public:
   ByteBudget(size_t bytes_per_second, size_t burst)
       : rate_(static_cast<double>(bytes_per_second)),
         burst_(static_cast<double>(burst)),
-        left_(static_cast<double>(burst)) {}
+        available_(static_cast<double>(burst)) {}
 
-  // What may be spent now.
-  size_t Left(TimePoint now);
-  void Spend(size_t bytes) { left_ -= static_cast<double>(bytes); }
+  // Returns the number of bytes that may be spent now.
+  size_t Available(TimePoint now);
+  void Spend(size_t bytes) { available_ -= static_cast<double>(bytes); }
 
  private:
   double rate_;
   double burst_;
-  double left_;
+  double available_;
   TimePoint refilled_{};
 };
 
-// Fingerprints of requests that crash servers, highest crash count wins.
+// Fingerprints of requests that crash servers. The highest crash count of a
+// fingerprint is kept.
 class QuarantineList {
  public:
-  // True if this told something new.
+  // Returns true if the record was new or raised a crash count.
   bool Add(const QuarantineRecord& record, TimePoint now);
   void Expire(TimePoint now);
   uint32_t CrashesOf(const std::string& service, uint64_t fingerprint) const;
   std::vector<QuarantineRecord> All(TimePoint now) const;
-  // The next few in turn, so that all are told again and again.
+  // Returns the next records in round-robin order, so that all are sent
+  // repeatedly.
   std::vector<QuarantineRecord> Next(size_t count, TimePoint now);
 
  private:
--- a/src/libnode/membership/quarantine_list_test.cc
+++ b/src/libnode/membership/quarantine_list_test.cc
@@ -9,10 +9,11 @@
   const TimePoint start = FromMicros(1'000'000);
 };
 
-// Callers of a service whose crash was mended long ago are still turned away,
-// because nodes that forgot the record hear it from those that have not. Each
-// holder counts the remaining time down, so that gossip cannot renew it.
-TEST(QuarantineList, GossipCannotKeepARecordAlive) {
+// Guards against requests that are still refused long after the service was
+// fixed because nodes that dropped the record receive it again from others.
+// Each holder passes on only the remaining time, so gossip cannot renew a
+// record.
+TEST(QuarantineList, GossipDoesNotExtendARecordsLifetime) {
   list.Add({"proofing", 7, kQuarantineCrashes}, start);
   const TimePoint late = start + std::chrono::minutes(29);
   QuarantineList other;
@@ -24,7 +25,7 @@
   CHECK_EQUAL(0u, other.CrashesOf("proofing", 7));
 }
 
-TEST(QuarantineList, SuspectsMakeRoomForAProvedCrashMaker) {
+TEST(QuarantineList, SuspectsAreEvictedForAQuarantinedFingerprint) {
   for (uint64_t fingerprint = 1; fingerprint <= 5000; ++fingerprint) {
     list.Add({"proofing", fingerprint, kSuspectCrashes}, start);
   }
