--- a/src/libnode/fakes/fake_fleet.cc
+++ b/src/libnode/fakes/fake_fleet.cc
@@ -8,11 +8,11 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr Duration kSameHost{50};
-constexpr Duration kSameDataCentre{200};
-constexpr Duration kOtherDataCentre{1000};
+constexpr Duration kSameHostLatency{50};
+constexpr Duration kSameDataCentreLatency{200};
+constexpr Duration kOtherDataCentreLatency{1000};
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
-constexpr Duration kPlatformDelay = std::chrono::milliseconds(5);
+constexpr Duration kPlatformLatency = std::chrono::milliseconds(5);
 constexpr Duration kPlatformTimeout = std::chrono::milliseconds(800);
 constexpr Duration kAnnouncePeriod = std::chrono::milliseconds(500);
 
@@ -45,12 +45,12 @@
 
 FakeFleet::FakeFleet(uint64_t seed) : random_(seed) {}
 
-// A server and the requests that it runs hold each other.
+// Breaks the reference cycles between servers and their requests.
 FakeFleet::~FakeFleet() {
   for (auto& [name, host] : hosts_) {
     for (const std::shared_ptr<Server>& server : host.servers) {
       server->running.clear();
-      server->waiting.clear();
+      server->queued.clear();
     }
   }
 }
@@ -102,7 +102,7 @@
                                  {"address", "127.0.0.1:9"},
                                  {"slots", server->options.slots}};
     request.body = Body(body.dump());
-    FeedLater(server->host, kSameHost,
+    FeedLater(server->host, kSameHostLatency,
               CallerRequest{next_call_++, std::move(request)});
   }
   At(kAnnouncePeriod, [this, server] { Announce(server); });
@@ -117,7 +117,7 @@
   std::push_heap(schedule_.begin(), schedule_.end());
 }
 
-FakeFleet::Scheduled FakeFleet::TakeNext() {
+FakeFleet::Scheduled FakeFleet::PopNext() {
   std::pop_heap(schedule_.begin(), schedule_.end());
   Scheduled next = std::move(schedule_.back());
   schedule_.pop_back();
@@ -142,19 +142,20 @@
 
 void FakeFleet::Apply(Host& host, const Effects& effects) {
   for (const Effect& effect : effects) {
-    std::visit([&](const auto& body) { Do(host, body); }, effect);
+    std::visit([&](const auto& body) { Execute(host, body); }, effect);
   }
 }
 
 uint64_t FakeFleet::Call(const std::string& node, HttpRequest request) {
   const uint64_t call = next_call_++;
   answers_[call].asked = now_;
-  FeedLater(node, kSameDataCentre, CallerRequest{call, std::move(request)});
+  FeedLater(node, kSameDataCentreLatency,
+            CallerRequest{call, std::move(request)});
   return call;
 }
 
 void FakeFleet::Hangup(const std::string& node, uint64_t call) {
-  FeedLater(node, kSameDataCentre, CallerGone{call});
+  FeedLater(node, kSameDataCentreLatency, CallerGone{call});
 }
 
 const FakeAnswer* FakeFleet::AnswerOf(uint64_t call) const {
@@ -182,7 +183,7 @@
       now_ = end;
       return done();
     }
-    const Scheduled next = TakeNext();
+    const Scheduled next = PopNext();
     now_ = next.at;
     next.action();
   }
@@ -193,7 +194,7 @@
   Host& host = hosts_.at(node);
   host.up = false;
   BreakLinks(node);
-  for (auto& [dispatch, running] : host.dispatches) running->gone = true;
+  for (auto& [dispatch, running] : host.dispatches) running->cancelled = true;
   host.dispatches.clear();
 }
 
@@ -226,11 +227,11 @@
 
 void FakeFleet::Heal() {
   cuts_.clear();
-  // TCP retransmits: what was sent on a link that still stands arrives late.
-  for (std::function<void()>& action : held_by_cuts_) {
-    At(kOtherDataCentre, std::move(action));
+  // TCP retransmits: messages sent on a link that is still open arrive late.
+  for (std::function<void()>& action : messages_held_by_cuts_) {
+    At(kOtherDataCentreLatency, std::move(action));
   }
-  held_by_cuts_.clear();
+  messages_held_by_cuts_.clear();
 }
 
 bool FakeFleet::IsCut(const std::string& a, const std::string& b) const {
@@ -239,7 +240,8 @@
 
 Duration FakeFleet::Latency(const std::string& a, const std::string& b) {
   const bool same = hosts_.at(a).data_centre == hosts_.at(b).data_centre;
-  const int64_t base = (same ? kSameDataCentre : kOtherDataCentre).count();
+  const int64_t base =
+      (same ? kSameDataCentreLatency : kOtherDataCentreLatency).count();
   std::uniform_int_distribution<int64_t> jitter(0, base / 2);
   return Duration(base + jitter(random_));
 }
@@ -249,11 +251,11 @@
     if (!link.open || (key.first != node && key.second != node)) continue;
     link.open = false;
     const std::string& other = key.first == node ? key.second : key.first;
-    FeedLater(other, kOtherDataCentre * 2, PeerLost{node});
+    FeedLater(other, kOtherDataCentreLatency * 2, PeerLost{node});
   }
 }
 
-void FakeFleet::Do(Host& host, const SendPeer& effect) {
+void FakeFleet::Execute(Host& host, const SendPeer& effect) {
   const std::string from = host.name;
   const auto peer = hosts_.find(effect.peer);
   if (peer == hosts_.end()) return;
@@ -263,7 +265,8 @@
   const bool unreachable = !to.up || IsCut(from, effect.peer);
   if (!link.open) {
     if (unreachable) {
-      const Duration delay = to.up ? kConnectTimeout : kSameDataCentre * 2;
+      const Duration delay =
+          to.up ? kConnectTimeout : kSameDataCentreLatency * 2;
       FeedLater(from, delay, PeerSendFailed{effect.peer, effect.message});
       return;
     }
@@ -272,7 +275,7 @@
     link.incarnation_a = hosts_.at(key.first).incarnation;
     link.incarnation_b = hosts_.at(key.second).incarnation;
   }
-  // A link is first in, first out, and dies with either process.
+  // A link delivers in order and is closed when either process ends.
   const TimePoint arrival =
       std::max(now_ + Latency(from, effect.peer), link.last);
   link.last = arrival;
@@ -288,24 +291,24 @@
     if (same) Feed(hosts_.at(to_name), PeerReceived{sender, message});
   };
   if (IsCut(from, effect.peer)) {
-    held_by_cuts_.push_back(std::move(deliver));
+    messages_held_by_cuts_.push_back(std::move(deliver));
     return;
   }
   Schedule(arrival, std::move(deliver));
 }
 
-void FakeFleet::Do(Host& host, const ClosePeer& effect) {
+void FakeFleet::Execute(Host& host, const ClosePeer& effect) {
   Link& link = links_[KeyOf(host.name, effect.peer)];
   if (!link.open) return;
   link.open = false;
   link.incarnation_a = 0;
-  FeedLater(host.name, kSameHost, PeerLost{effect.peer});
+  FeedLater(host.name, kSameHostLatency, PeerLost{effect.peer});
   if (!IsCut(host.name, effect.peer)) {
-    FeedLater(effect.peer, kSameDataCentre, PeerLost{host.name});
+    FeedLater(effect.peer, kSameDataCentreLatency, PeerLost{host.name});
   }
 }
 
-void FakeFleet::Do(Host& host, const SendGossip& effect) {
+void FakeFleet::Execute(Host& host, const SendGossip& effect) {
   const std::string from = host.name;
   const std::string to = effect.to.ip;
   if (hosts_.count(to) == 0 || IsCut(from, to)) return;
@@ -317,13 +320,14 @@
   }
 }
 
-void FakeFleet::Do(Host&, const AnswerCaller& effect) {
+void FakeFleet::Execute(Host&, const AnswerCaller& effect) {
   const auto nested = nested_.find(effect.call);
   if (nested != nested_.end()) {
     const std::function<void(const HttpResponse&)> resume =
         std::move(nested->second);
     nested_.erase(nested);
-    At(kSameHost, [resume, response = effect.response] { resume(response); });
+    At(kSameHostLatency,
+       [resume, response = effect.response] { resume(response); });
     return;
   }
   FakeAnswer& answer = answers_[effect.call];
@@ -337,42 +341,42 @@
   }
   if (!on_answer) return;
   if (keeps_history_) return on_answer(effect.call, answer);
-  const FakeAnswer only = std::move(answer);
+  const FakeAnswer moved_answer = std::move(answer);
   answers_.erase(effect.call);
-  on_answer(effect.call, only);
+  on_answer(effect.call, moved_answer);
 }
 
-void FakeFleet::Do(Host& host, const WakeAt& effect) {
+void FakeFleet::Execute(Host& host, const WakeAt& effect) {
   const uint64_t wake = ++host.wake;
   const uint64_t incarnation = host.incarnation;
   const std::string name = host.name;
   At(std::max(effect.at - now_, Duration(0)), [this, name, wake, incarnation] {
-    Host& woken = hosts_.at(name);
-    if (woken.wake == wake && woken.incarnation == incarnation) {
-      Feed(woken, Tick{});
+    Host& target = hosts_.at(name);
+    if (target.wake == wake && target.incarnation == incarnation) {
+      Feed(target, Tick{});
     }
   });
 }
 
-void FakeFleet::Do(Host& host, const ExitProcess&) {
+void FakeFleet::Execute(Host& host, const ExitProcess&) {
   host.exited = true;
   Kill(host.name);
 }
 
-void FakeFleet::Do(Host&, const WriteLog&) {}
-void FakeFleet::Do(Host&, const DropIdleConnections&) {}
+void FakeFleet::Execute(Host&, const WriteLog&) {}
+void FakeFleet::Execute(Host&, const DropIdleConnections&) {}
 
-void FakeFleet::Do(Host& host, const SendPlatform& effect) {
+void FakeFleet::Execute(Host& host, const SendPlatform& effect) {
   const std::string name = host.name;
   ++platform_operations_;
   if (platform_mode_ == PlatformMode::kDown) {
     PlatformReply reply;
     reply.status = PlatformStatus::kUnreachable;
-    FeedLater(name, kPlatformDelay, PlatformReplied{effect.op, reply});
+    FeedLater(name, kPlatformLatency, PlatformReplied{effect.op, reply});
     return;
   }
   PlatformReply reply = RunPlatform(effect.request);
-  Duration delay = kPlatformDelay;
+  Duration delay = kPlatformLatency;
   if (platform_mode_ == PlatformMode::kLoseAnswers) {
     reply = PlatformReply();
     delay = kPlatformTimeout;
--- a/src/libnode/fakes/fake_fleet.h
+++ b/src/libnode/fakes/fake_fleet.h
@@ -1,10 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_FAKES_FAKE_FLEET_H_
 #define AMARANTHROUTE_LIBNODE_FAKES_FAKE_FLEET_H_
 
-// Several reducers joined by a tiny scheduler in virtual time, with fake
-// backend servers and a fake platform: for tests and the policy bench. It
-// delays, cuts, pauses, kills, restarts, drops and duplicates; it knows nothing
-// of how the reducers decide.
+// Fake fleet for tests and the policy bench: several reducers connected by a
+// scheduler in virtual time, with fake backend servers and a fake platform. It
+// delays, drops and duplicates messages, cuts links, and pauses, kills and
+// restarts nodes. It doesn't depend on how the reducers decide.
 
 #include <cstdint>
 #include <functional>
@@ -25,38 +25,39 @@
   std::string service;
   uint32_t slots = 10;
   Duration service_time = std::chrono::milliseconds(10);
-  // Exponential around service_time, instead of the same each time.
+  // Service times are exponentially distributed with mean service_time, instead
+  // of constant.
   bool random_service_time = false;
-  // Requests with this body take slow_factor as long.
+  // Requests with this body take slow_factor times as long.
   std::string slow_body;
   double slow_factor = 1;
-  // Calls that begin while more than this share of the slots is taken, their
-  // own included, take crowded_factor as long.
+  // Runs that start while more than this share of the slots is taken, their own
+  // included, take crowded_factor times as long.
   double crowded_share = 1;
   double crowded_factor = 1;
-  // Cold start: the first call takes this many service times, falling to one
-  // over the warm-up.
+  // Cold start: a run takes cold_factor times as long at the server's start,
+  // decreasing linearly to one over warm_up.
   double cold_factor = 1;
   Duration warm_up{0};
-  // False: works on for callers that have gone away.
+  // If false, runs go on after their cancellation or timeout.
   bool cancellable = true;
-  // False: nested calls do not say whose they are, so each has its own
-  // deadline and retries.
+  // If false, nested calls don't carry the request's context, so each has its
+  // own deadline and retries.
   bool passes_context = true;
-  // Services called one after the other through the server's own node, as
+  // Nested calls made one after another through the server's own node, given as
   // "service" or "METHOD service".
   std::vector<std::string> nested;
   // Requests with this body abort the process, which restarts later.
   std::string crash_body;
   Duration restart_after = std::chrono::seconds(1);
   bool failing = false;      // answers 500
-  double failing_share = 0;  // of its calls, answered 500 as well
-  // Times that a failed nested call is sent again by the server itself.
+  double failing_share = 0;  // share of runs that are answered 500
+  // Failed nested calls that the server sends again itself, in total per run.
   int own_retries = 0;
   size_t backlog = 1000;
 };
 
-// One run of a request at a fake server: the counted effect.
+// One run of a request at a fake server.
 struct Effected {
   TimePoint at{};
   std::string server;
@@ -88,29 +89,34 @@
                bool use_platform = false);
   void AddServer(const std::string& node, FakeServerOptions options);
 
-  // A caller's request; the answer is found under the returned id.
+  // Sends a caller's request. AnswerOf() returns its answer for the returned
+  // id.
   uint64_t Call(const std::string& node, HttpRequest request);
   void Hangup(const std::string& node, uint64_t call);
   const FakeAnswer* AnswerOf(uint64_t call) const;
   std::function<void(uint64_t call, const FakeAnswer&)> on_answer;
-  // A server began to run a request.
+  // Called when a server starts to run a request.
   std::function<void(const Effected&)> on_run;
-  // Long runs leave the hooks to tell of answers and runs, and keep neither.
+  // Saves memory in long tests: runs are reported through on_run only, and
+  // answers are dropped once on_answer has been called.
   void ForgetHistory() { keeps_history_ = false; }
 
   void RunFor(Duration length);
-  // Runs until `done` or the limit; true if done.
+  // Runs until `done` returns true or `limit` has passed; returns whether
+  // `done` returned true.
   bool RunUntil(const std::function<bool()>& done, Duration limit);
   void At(Duration from_now, std::function<void()> action);
 
   // Faults.
-  void Kill(const std::string& node);     // with its state; links break
-  void Restart(const std::string& node);  // new incarnation
+  void Kill(const std::string& node);     // breaks its links
+  void Restart(const std::string& node);  // new state and incarnation
   void Pause(const std::string& node);
   void Resume(const std::string& node);
-  void Cut(const std::string& a, const std::string& b);  // silent
+  // Loses datagrams between the nodes, holds messages on open links until
+  // Heal() and lets new connections time out. Neither node is notified.
+  void Cut(const std::string& a, const std::string& b);
   void Heal();
-  void Stop(const std::string& node);  // planned
+  void Stop(const std::string& node);  // planned stop
   void SetPlatform(PlatformMode mode) { platform_mode_ = mode; }
   void SetDatagramLoss(double share) { datagram_loss_ = share; }
   void SetDatagramDuplicates(double share) { datagram_duplicates_ = share; }
@@ -120,9 +126,9 @@
   TimePoint now() const { return now_; }
   Node& node(const std::string& name) { return *hosts_.at(name).node; }
   bool Exited(const std::string& name) const { return hosts_.at(name).exited; }
-  const std::vector<Effected>& effects() const { return effected_; }
+  const std::vector<Effected>& effects() const { return runs_; }
   std::mt19937_64& random() { return random_; }
-  // Platform writes and reads so far.
+  // Returns the number of platform reads and writes so far.
   uint64_t platform_operations() const { return platform_operations_; }
   HttpResponse Operator(const std::string& node, HttpRequest request);
 
@@ -162,33 +168,33 @@
   static LinkKey KeyOf(const std::string& a, const std::string& b);
   bool IsCut(const std::string& a, const std::string& b) const;
   void Schedule(TimePoint at, std::function<void()> action);
-  Scheduled TakeNext();
+  Scheduled PopNext();
   void StartNode(Host& host);
   void Feed(Host& host, EventBody body);
   void FeedLater(const std::string& host, Duration delay, EventBody body);
   void Apply(Host& host, const Effects& effects);
-  void Do(Host& host, const AnswerCaller& effect);
-  void Do(Host& host, const SendPeer& effect);
-  void Do(Host& host, const ClosePeer& effect);
-  void Do(Host& host, const SendGossip& effect);
-  void Do(Host& host, const SendServer& effect);
-  void Do(Host& host, const CancelServer& effect);
-  void Do(Host& host, const DropIdleConnections& effect);
-  void Do(Host& host, const SendPlatform& effect);
-  void Do(Host& host, const WakeAt& effect);
-  void Do(Host& host, const WriteLog& effect);
-  void Do(Host& host, const ExitProcess& effect);
+  void Execute(Host& host, const AnswerCaller& effect);
+  void Execute(Host& host, const SendPeer& effect);
+  void Execute(Host& host, const ClosePeer& effect);
+  void Execute(Host& host, const SendGossip& effect);
+  void Execute(Host& host, const SendServer& effect);
+  void Execute(Host& host, const CancelServer& effect);
+  void Execute(Host& host, const DropIdleConnections& effect);
+  void Execute(Host& host, const SendPlatform& effect);
+  void Execute(Host& host, const WakeAt& effect);
+  void Execute(Host& host, const WriteLog& effect);
+  void Execute(Host& host, const ExitProcess& effect);
   PlatformReply RunPlatform(const PlatformRequest& request);
   void BreakLinks(const std::string& node);
   Duration Latency(const std::string& a, const std::string& b);
 
   Server* FindServer(const std::string& name);
   void Announce(const std::shared_ptr<Server>& server);
-  void StartWaiting(const std::shared_ptr<Server>& server);
+  void StartQueued(const std::shared_ptr<Server>& server);
   Duration ServiceTimeOf(const Server& server, const HttpRequest& request);
   void RunNested(const std::shared_ptr<Running>& running, size_t next);
   void FinishRun(const std::shared_ptr<Running>& running, int status);
-  void Abandon(const std::shared_ptr<Running>& running);
+  void CancelRun(const std::shared_ptr<Running>& running);
   void CrashServer(const std::shared_ptr<Server>& server);
 
   TimePoint now_ = FromMicros(1'000'000);
@@ -201,10 +207,10 @@
   std::map<std::string, Host> hosts_;
   std::map<LinkKey, Link> links_;
   std::set<LinkKey> cuts_;
-  std::vector<std::function<void()>> held_by_cuts_;
+  std::vector<std::function<void()>> messages_held_by_cuts_;
   std::map<uint64_t, FakeAnswer> answers_;
   std::map<uint64_t, std::function<void(const HttpResponse&)>> nested_;
-  std::vector<Effected> effected_;
+  std::vector<Effected> runs_;
   PlatformMode platform_mode_ = PlatformMode::kUp;
   std::map<std::string, std::string> rows_;
   std::map<std::string, std::string> objects_;
@@ -216,7 +222,7 @@
   double datagram_duplicates_ = 0;
 };
 
-// Sets the headers of a caller's request.
+// Returns a caller's request with its headers set.
 HttpRequest MakeRequest(const std::string& method, const std::string& service,
                         const std::string& request_class = "default",
                         const std::string& request_id = "",
--- a/src/libnode/fakes/fake_fleet_server.h
+++ b/src/libnode/fakes/fake_fleet_server.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_FAKES_FAKE_FLEET_SERVER_H_
 #define AMARANTHROUTE_LIBNODE_FAKES_FAKE_FLEET_SERVER_H_
 
-// State of the fake fleet's backend servers.
+// Defines the state of the fake fleet's backend servers.
 
 #include <deque>
 #include <memory>
@@ -16,9 +16,9 @@
   std::string host;
   bool up = true;
   TimePoint started{};
-  uint64_t life = 0;
+  uint64_t generation = 0;
   uint32_t busy = 0;
-  std::deque<std::shared_ptr<Running>> waiting;
+  std::deque<std::shared_ptr<Running>> queued;
   std::vector<std::shared_ptr<Running>> running;
 };
 
@@ -26,11 +26,11 @@
   std::shared_ptr<Server> server;
   uint64_t dispatch = 0;
   HttpRequest request;
-  size_t effect = 0;
+  size_t run_index = 0;
   int own_retries = 0;
   bool started = false;
   bool ended = false;
-  bool gone = false;  // cancelled, timed out, or its server crashed
+  bool cancelled = false;  // cancelled, timed out, or its node was killed
 };
 
 }  // namespace amaranth::pvt
--- a/src/libnode/fakes/fake_servers.cc
+++ b/src/libnode/fakes/fake_servers.cc
@@ -1,4 +1,5 @@
-// The fake fleet's backend servers: slots, a backlog, nested calls, crashes.
+// Simulates the fake fleet's backend servers: slots, a queue, nested calls,
+// crashes.
 
 #include <algorithm>
 
@@ -8,9 +9,9 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr Duration kSameHost{50};
+constexpr Duration kSameHostLatency{50};
 
-ServerFailed Broken(uint64_t dispatch) {
+ServerFailed ConnectionLostFailure(uint64_t dispatch) {
   return {dispatch, Verdict::kMayHaveRun, Reason::kConnectionLost};
 }
 
@@ -34,14 +35,14 @@
   return nullptr;
 }
 
-void FakeFleet::Do(Host& host, const SendServer& effect) {
+void FakeFleet::Execute(Host& host, const SendServer& effect) {
   const auto found =
       std::find_if(host.servers.begin(), host.servers.end(),
                    [&](const std::shared_ptr<Server>& candidate) {
                      return candidate->options.name == effect.server;
                    });
   if (found == host.servers.end() || !(*found)->up) {
-    FeedLater(host.name, kSameHost,
+    FeedLater(host.name, kSameHostLatency,
               ServerFailed{effect.dispatch, Verdict::kNotRun,
                            Reason::kConnectFailed});
     return;
@@ -51,51 +52,53 @@
   running->dispatch = effect.dispatch;
   running->request = effect.request;
   host.dispatches[effect.dispatch] = running;
-  if (running->server->waiting.size() >= running->server->options.backlog) {
+  if (running->server->queued.size() >= running->server->options.backlog) {
     HttpResponse busy;
     busy.status = 503;
     busy.headers = {{"X-Amaranth-Refused", "1"}};
     host.dispatches.erase(effect.dispatch);
-    FeedLater(host.name, kSameHost, ServerReplied{effect.dispatch, busy});
+    FeedLater(host.name, kSameHostLatency,
+              ServerReplied{effect.dispatch, busy});
     return;
   }
-  running->server->waiting.push_back(running);
+  running->server->queued.push_back(running);
   const std::string name = host.name;
   At(effect.timeout, [this, name, running] {
-    Host& waiting = hosts_.at(name);
-    if (waiting.dispatches.erase(running->dispatch) == 0) return;
-    Abandon(running);
-    Feed(waiting, Broken(running->dispatch));
+    Host& sender = hosts_.at(name);
+    if (sender.dispatches.erase(running->dispatch) == 0) return;
+    CancelRun(running);
+    Feed(sender, ConnectionLostFailure(running->dispatch));
   });
-  StartWaiting(running->server);
+  StartQueued(running->server);
 }
 
-void FakeFleet::Do(Host& host, const CancelServer& effect) {
+void FakeFleet::Execute(Host& host, const CancelServer& effect) {
   const auto found = host.dispatches.find(effect.dispatch);
   if (found == host.dispatches.end()) return;
   const std::shared_ptr<Running> running = found->second;
   host.dispatches.erase(found);
-  Abandon(running);
-  FeedLater(host.name, kSameHost, Broken(effect.dispatch));
+  CancelRun(running);
+  FeedLater(host.name, kSameHostLatency,
+            ConnectionLostFailure(effect.dispatch));
 }
 
-void FakeFleet::Abandon(const std::shared_ptr<Running>& running) {
+void FakeFleet::CancelRun(const std::shared_ptr<Running>& running) {
   if (!running->server->options.cancellable) return;
-  running->gone = true;
+  running->cancelled = true;
   if (running->started) FinishRun(running, 503);
 }
 
-void FakeFleet::StartWaiting(const std::shared_ptr<Server>& server) {
+void FakeFleet::StartQueued(const std::shared_ptr<Server>& server) {
   while (server->up && server->busy < server->options.slots &&
-         !server->waiting.empty()) {
-    const std::shared_ptr<Running> running = server->waiting.front();
-    server->waiting.pop_front();
-    if (running->gone) continue;  // backend servers accept cancellation
+         !server->queued.empty()) {
+    const std::shared_ptr<Running> running = server->queued.front();
+    server->queued.pop_front();
+    if (running->cancelled) continue;  // cancelled while queued
     running->started = true;
     ++server->busy;
     server->running.push_back(running);
     const std::vector<Header>& headers = running->request.headers;
-    running->effect = effected_.size();
+    running->run_index = runs_.size();
     const Effected effect{
         now_,
         server->options.name,
@@ -104,15 +107,15 @@
         std::string(FindHeader(headers, "Idempotency-Key")),
         false};
     if (on_run) on_run(effect);
-    if (keeps_history_) effected_.push_back(effect);
+    if (keeps_history_) runs_.push_back(effect);
     const std::string& crash = server->options.crash_body;
     if (!crash.empty() && running->request.body.view() == crash) {
       CrashServer(server);
       return;
     }
-    const uint64_t life = server->life;
-    At(ServiceTimeOf(*server, running->request), [this, running, life] {
-      if (running->server->life == life) RunNested(running, 0);
+    const uint64_t generation = server->generation;
+    At(ServiceTimeOf(*server, running->request), [this, running, generation] {
+      if (running->server->generation == generation) RunNested(running, 0);
     });
   }
 }
@@ -130,9 +133,9 @@
   const Duration warm_up = server.options.warm_up;
   const Duration age = now_ - server.started;
   if (age < warm_up) {
-    const double cold = 1 - static_cast<double>(age.count()) /
-                                static_cast<double>(warm_up.count());
-    time *= 1 + (server.options.cold_factor - 1) * cold;
+    const double warm_up_left = 1 - static_cast<double>(age.count()) /
+                                        static_cast<double>(warm_up.count());
+    time *= 1 + (server.options.cold_factor - 1) * warm_up_left;
   }
   if (server.options.random_service_time) {
     time = std::exponential_distribution<double>(1 / time)(random_);
@@ -144,7 +147,7 @@
                           size_t next) {
   const std::shared_ptr<Server>& server = running->server;
   if (running->ended) return;
-  if (running->gone || next == server->options.nested.size()) {
+  if (running->cancelled || next == server->options.nested.size()) {
     const double share = server->options.failing_share;
     const bool fails =
         server->options.failing ||
@@ -172,16 +175,18 @@
               std::string(FindHeader(own, "X-Amaranth-Request-Id")) + "." +
                   std::to_string(call));
   }
-  const uint64_t life = server->life;
-  nested_[call] = [this, running, next, life](const HttpResponse& response) {
-    if (running->server->life != life) return;
+  const uint64_t generation = server->generation;
+  nested_[call] = [this, running, next,
+                   generation](const HttpResponse& response) {
+    if (running->server->generation != generation) return;
     if (response.status < 500) return RunNested(running, next + 1);
     if (running->own_retries++ < running->server->options.own_retries) {
       return RunNested(running, next);
     }
     FinishRun(running, 503);
   };
-  FeedLater(server->host, kSameHost, CallerRequest{call, std::move(request)});
+  FeedLater(server->host, kSameHostLatency,
+            CallerRequest{call, std::move(request)});
 }
 
 void FakeFleet::FinishRun(const std::shared_ptr<Running>& running, int status) {
@@ -192,34 +197,34 @@
   std::vector<std::shared_ptr<Running>>& list = server->running;
   list.erase(std::remove(list.begin(), list.end(), running), list.end());
   Host& host = hosts_.at(server->host);
-  if (!running->gone && host.dispatches.erase(running->dispatch) > 0) {
-    if (keeps_history_) effected_[running->effect].finished = status == 200;
+  if (!running->cancelled && host.dispatches.erase(running->dispatch) > 0) {
+    if (keeps_history_) runs_[running->run_index].finished = status == 200;
     HttpResponse response;
     response.status = status;
     response.body = Body(
         std::string(
             FindHeader(running->request.headers, "X-Amaranth-Request-Id")) +
         "|" + std::string(FindHeader(running->request.headers, "X-Token")));
-    FeedLater(server->host, kSameHost,
+    FeedLater(server->host, kSameHostLatency,
               ServerReplied{running->dispatch, std::move(response)});
   }
-  StartWaiting(server);
+  StartQueued(server);
 }
 
 void FakeFleet::CrashServer(const std::shared_ptr<Server>& server) {
   server->up = false;
-  ++server->life;
+  ++server->generation;
   server->busy = 0;
   server->running.clear();
-  server->waiting.clear();
+  server->queued.clear();
   Host& host = hosts_.at(server->host);
-  std::vector<uint64_t> broken;
+  std::vector<uint64_t> lost_dispatches;
   for (const auto& [dispatch, running] : host.dispatches) {
-    if (running->server == server) broken.push_back(dispatch);
+    if (running->server == server) lost_dispatches.push_back(dispatch);
   }
-  for (const uint64_t dispatch : broken) {
+  for (const uint64_t dispatch : lost_dispatches) {
     host.dispatches.erase(dispatch);
-    FeedLater(server->host, kSameHost, Broken(dispatch));
+    FeedLater(server->host, kSameHostLatency, ConnectionLostFailure(dispatch));
   }
   At(server->options.restart_after, [this, server] {
     server->up = true;
