--- a/src/libnode/entry/admission.cc
+++ b/src/libnode/entry/admission.cc
@@ -5,87 +5,88 @@
 namespace amaranth::pvt {
 namespace {
 
-// Callers choose class names: the tables must not grow with them.
+// Callers choose class names: the tables must not grow without bound.
 constexpr size_t kMaxClasses = 4096;
 
 }  // namespace
 
-std::string Admission::KeyOf(const Call& call) {
+std::string Admission::ClassKey(const Call& call) {
   return call.context.service + "/" + call.context.request_class;
 }
 
-void Admission::TakeLevel(Call& call, bool by_cost, TimePoint now) {
-  CallContext& about = call.context;
-  CallerShares& shares = caller_shares_[{about.service, about.tier}];
-  shares.OnArrival(about.caller_key, now);
-  about.level = WeightedSheddingLevel(about.tier, about.request_id,
-                                      shares.Weight(about.caller_key));
-  if (by_cost) about.level = LevelByCost(about.level, MakesCalls(call));
+void Admission::AssignLevel(Call& call, bool by_cost, TimePoint now) {
+  CallContext& context = call.context;
+  CallerShares& shares = caller_shares_[{context.service, context.tier}];
+  shares.OnArrival(context.caller_key, now);
+  context.level = WeightedSheddingLevel(context.tier, context.request_id,
+                                        shares.Weight(context.caller_key));
+  if (by_cost) context.level = LevelByCost(context.level, HasNestedCalls(call));
 }
 
-void Admission::LearnMakesCalls(const Call& call) {
-  if (makes_calls_.size() >= kMaxClasses) return;
-  makes_calls_.emplace(call.context.service, call.own_class);
+void Admission::RecordNestedCalls(const Call& call) {
+  if (has_nested_calls_.size() >= kMaxClasses) return;
+  has_nested_calls_.emplace(call.context.service, call.call_class);
 }
 
-bool Admission::MakesCalls(const Call& call) const {
-  return makes_calls_.count({call.context.service, call.own_class}) > 0;
+bool Admission::HasNestedCalls(const Call& call) const {
+  return has_nested_calls_.count({call.context.service, call.call_class}) > 0;
 }
 
-void Admission::LearnThreshold(const Call& call, uint32_t threshold,
-                               TimePoint now) {
-  thresholds_.Learn(KeyOf(call), threshold, now);
+void Admission::RecordThreshold(const Call& call, uint32_t threshold,
+                                TimePoint now) {
+  thresholds_.Learn(ClassKey(call), threshold, now);
 }
 
 uint32_t Admission::ThresholdFor(const Call& call, TimePoint now) const {
-  return thresholds_.ThresholdFor(KeyOf(call), now);
+  return thresholds_.ThresholdFor(ClassKey(call), now);
 }
 
-bool Admission::IsUnderThreshold(const Call& call, TimePoint now) const {
+bool Admission::IsBelowThreshold(const Call& call, TimePoint now) const {
   return call.context.level < ThresholdFor(call, now);
 }
 
-bool Admission::TakePlace(Call& call, std::mt19937_64& random) {
-  const std::string key = KeyOf(call);
+bool Admission::TryEnterWindow(Call& call, std::mt19937_64& random) {
+  const std::string key = ClassKey(call);
   if (windows_.size() >= kMaxClasses && windows_.count(key) == 0) return true;
   ClassWindow& own = windows_[key];
   own.tier = call.context.tier;
   if (!own.window.HasRoom(random)) return false;
   own.window.OnBegin();
-  call.has_place = true;
+  call.in_window = true;
   return true;
 }
 
-void Admission::EndPlace(Call& call, bool served, Duration target,
-                         TimePoint now) {
-  call.has_place = false;
+void Admission::CompleteInWindow(Call& call, bool served, Duration target,
+                                 TimePoint now) {
+  call.in_window = false;
   EndedRequest ended;
   ended.latency = now - call.started;
   ended.served = served;
-  // A try that was in flight when the deadline came told nothing: its waits are
-  // missing here, and such a request does not count as overload.
+  // An attempt that is still in flight at the deadline has not reported its
+  // waiting time. That time is missing here, so such a request may not count
+  // as overload.
   ended.waited = call.waited;
-  ClassWindow& own = windows_[KeyOf(call)];
+  ClassWindow& own = windows_[ClassKey(call)];
   if (!own.window.OnEnd(ended, target)) return;
-  GivesWayTo(own).window.Shrink(ended.latency, now);
+  WindowToShrink(own).window.Shrink(ended.latency, now);
 }
 
-Admission::ClassWindow& Admission::GivesWayTo(ClassWindow& own) {
-  ClassWindow* least = &own;
+Admission::ClassWindow& Admission::WindowToShrink(ClassWindow& own) {
+  ClassWindow* lowest = &own;
   for (auto& [key, other] : windows_) {
-    if (other.tier < least->tier && other.window.CanGiveWay()) least = &other;
+    if (other.tier < lowest->tier && other.window.CanGiveWay()) lowest = &other;
   }
-  return *least;
+  return *lowest;
 }
 
-void Admission::AbandonPlace(Call& call) {
-  if (!call.has_place) return;
-  call.has_place = false;
-  windows_[KeyOf(call)].window.OnAbandoned();
+void Admission::AbandonInWindow(Call& call) {
+  if (!call.in_window) return;
+  call.in_window = false;
+  windows_[ClassKey(call)].window.OnAbandoned();
 }
 
-double Admission::WindowOf(const Call& call) const {
-  const auto found = windows_.find(KeyOf(call));
+double Admission::WindowLimit(const Call& call) const {
+  const auto found = windows_.find(ClassKey(call));
   return found == windows_.end() ? 0 : found->second.window.limit();
 }
 
--- a/src/libnode/entry/admission.h
+++ b/src/libnode/entry/admission.h
@@ -1,9 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_ENTRY_ADMISSION_H_
 #define AMARANTHROUTE_LIBNODE_ENTRY_ADMISSION_H_
 
-// Which of the requests that enter at this node are let in: by the threshold
-// that answers brought up from the services below, and by the window of each
-// class.
+// Decides which of the requests that enter at this node are admitted, by the
+// shedding thresholds that answers reported for downstream services and by the
+// admission window of each class.
 
 #include <map>
 #include <random>
@@ -20,27 +20,32 @@
 
 class Admission {
  public:
-  // Fixes the level of a request at the edge. `by_cost`: in each tier those
-  // that make calls of their own go first.
-  void TakeLevel(Call& call, bool by_cost, TimePoint now);
+  // Sets the shedding level of a request at its entry node. With `by_cost`,
+  // requests that make nested calls are shed first within each tier.
+  void AssignLevel(Call& call, bool by_cost, TimePoint now);
 
-  // An answer told whether the backend server made calls for it, and the
-  // threshold of the services below.
-  void LearnMakesCalls(const Call& call);
-  bool MakesCalls(const Call& call) const;
-  void LearnThreshold(const Call& call, uint32_t threshold, TimePoint now);
+  // Records that the backend server made nested calls for a call like this.
+  void RecordNestedCalls(const Call& call);
+  bool HasNestedCalls(const Call& call) const;
+  // Records the shedding threshold that an answer reported for downstream
+  // services.
+  void RecordThreshold(const Call& call, uint32_t threshold, TimePoint now);
   uint32_t ThresholdFor(const Call& call, TimePoint now) const;
-  bool IsUnderThreshold(const Call& call, TimePoint now) const;
+  bool IsBelowThreshold(const Call& call, TimePoint now) const;
 
-  // Takes a place in the window of the request's class; false if it is full.
-  bool TakePlace(Call& call, std::mt19937_64& random);
-  // A request that has a place has ended: `target` is its class's latency
-  // target.
-  void EndPlace(Call& call, bool served, Duration target, TimePoint now);
-  // It has ended without news: its caller left.
-  void AbandonPlace(Call& call);
-  // Limit of the class's window; 0 for none.
-  double WindowOf(const Call& call) const;
+  // Counts the request in the window of its class; false if the window is full.
+  // Classes beyond the limit of the table have no window: their requests are
+  // admitted.
+  bool TryEnterWindow(Call& call, std::mt19937_64& random);
+  // Takes a completed request out of its window and adjusts the limits.
+  // `target` is the latency target of its class.
+  void CompleteInWindow(Call& call, bool served, Duration target,
+                        TimePoint now);
+  // Takes a request out of its window without adjusting any limit, for example
+  // after its caller disconnected.
+  void AbandonInWindow(Call& call);
+  // Returns the limit of the class's window; 0 if it is unlimited.
+  double WindowLimit(const Call& call) const;
 
  private:
   struct ClassWindow {
@@ -48,20 +53,22 @@
     Tier tier = Tier::kStandard;
   };
 
-  // The window that gives way to the class of `own`, which waits too long: the
-  // least important one whose requests lately waited, too, for the same
-  // services as far as this node can see; else `own` itself.
-  ClassWindow& GivesWayTo(ClassWindow& own);
+  // Returns the window to shrink when requests in the window `own` wait too
+  // long: that of the least important tier below its tier whose requests have
+  // lately waited, too (for the same services, as far as this node can tell);
+  // else `own` itself.
+  ClassWindow& WindowToShrink(ClassWindow& own);
 
-  // Callers choose class names, but only known services get here.
-  static std::string KeyOf(const Call& call);
+  // Returns the table key of a call's service and class. Callers choose class
+  // names, but only calls of known services get here.
+  static std::string ClassKey(const Call& call);
 
   DownstreamThresholds thresholds_;
   // By service and tier.
   std::map<std::pair<std::string, Tier>, CallerShares> caller_shares_;
-  // Service and class of calls whose servers make calls of their own.
-  std::set<std::pair<std::string, std::string>> makes_calls_;
-  std::map<std::string, ClassWindow> windows_;  // by KeyOf
+  // Service and class of the calls for which servers make nested calls.
+  std::set<std::pair<std::string, std::string>> has_nested_calls_;
+  std::map<std::string, ClassWindow> windows_;  // by ClassKey
 };
 
 }  // namespace amaranth::pvt
--- a/src/libnode/entry/call.h
+++ b/src/libnode/entry/call.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBNODE_ENTRY_CALL_H_
 #define AMARANTHROUTE_LIBNODE_ENTRY_CALL_H_
 
-// One call at its entry node: a caller's request, or a backend server's nested
-// call, until its answer.
+// One call at its entry node, until it is answered: a caller's request or a
+// nested call of a backend server.
 
 #include <cstdint>
 #include <optional>
@@ -15,66 +15,69 @@
 
 namespace amaranth::pvt {
 
-// Somebody who waits for a call's answer: an HTTP request to this node, or a
-// node that forwarded a request whose home is here.
+// A recipient of a call's answer: an HTTP request to this node, or a node that
+// forwarded a request whose home is here.
 struct Waiter {
-  CallId http_call = 0;  // 0: a peer waits
+  CallId http_call = 0;  // 0: the recipient is `peer`
   NodeRef peer;
   AttemptId peer_attempt = 0;
 };
 
 enum class CallPhase {
   kClaiming,   // its key is being claimed; nothing was dispatched
-  kRunning,    // this node tries backend servers
-  kForwarded,  // its key's home runs it
+  kRunning,    // this node sends it to backend servers
+  kForwarded,  // forwarded to the home of its key, which runs it
 };
 
-// Turned away for want of room, here or further down.
+// Whether the request was shed or refused for lack of capacity, at this node
+// or downstream.
 inline bool IsOverload(Reason reason) {
   return reason == Reason::kShedAtEntry || reason == Reason::kShedAtServer ||
          reason == Reason::kQueueFull || reason == Reason::kServerRefused;
 }
 
-// The try in flight.
+// The attempt in flight.
 struct Attempt {
   AttemptId id = 0;
   NodeRef node;        // serving node, or home
   std::string server;  // empty: forwarded to a home
   TimePoint sent{};
-  uint16_t lent = 0;  // credits
+  uint16_t granted = 0;  // retry credits
 };
 
 struct Call {
   uint64_t id = 0;
   std::vector<Waiter> waiters;
   CallContext context;
-  HttpRequest request;  // without headers of ours
+  HttpRequest request;  // without the headers that nodes set
   TimePoint started{};
   TimePoint deadline{};
   CallPhase phase = CallPhase::kRunning;
   bool is_root = true;
   uint64_t parent_hop = 0;  // nested calls
-  uint16_t lent_by_parent = 0;
+  uint16_t granted_by_parent = 0;
   CreditLedger ledger;
-  std::string key;  // idempotency key that this node dispatches
+  std::string key;  // idempotency key or ticket; empty for a call without one
   bool joinable = false;
   std::optional<Attempt> attempt;
-  std::set<std::string> tried;  // "node/server"
-  // The class that its own route gave it; that of the whole request is in the
-  // context.
-  std::string own_class;
-  int tries = 0;
-  int reached = 0;  // tries that came as far as a backend server
-  // Most backend servers that it may reach, by its route; 0 for no such limit.
-  int most_tries = 0;
-  // Its caller was told "may have run" at the deadline; kept for the answer,
-  // which a resend of the key will ask for.
-  bool lingering = false;
-  // An earlier try may have run: then nothing later can prove "not run".
-  bool doubt = false;
-  // Counted in the window of its class, see Admission.
-  bool has_place = false;
-  // In queues for a slot and between nodes, by the answers to its tries.
+  std::set<std::string> tried_servers;  // "node/server"
+  // Class of this call by its own headers or route. The class of the request
+  // that it belongs to is in `context`.
+  std::string call_class;
+  int attempts = 0;
+  int arrivals = 0;  // attempts that reached a backend server
+  // Limits the attempts that reach a backend server, by route; 0: no limit.
+  int max_attempts = 0;
+  // The caller was answered "may have run" at the deadline. The call is kept
+  // for its late answer, which a resend with the same key will ask for.
+  bool awaits_late_answer = false;
+  // An earlier attempt ran or may have run: the verdict can no longer be "not
+  // run".
+  bool may_have_run = false;
+  // Counted in the admission window of its class, see Admission.
+  bool in_window = false;
+  // Time spent in queues for a slot and between nodes, by the answers to its
+  // attempts.
   Duration waited{0};
 };
 
--- a/src/libnode/entry/claim_coordinator.cc
+++ b/src/libnode/entry/claim_coordinator.cc
@@ -10,22 +10,23 @@
 namespace amaranth::pvt {
 namespace {
 
-// Delegates of a data centre: two, so that one's death halves no more than the
-// batching for as long as gossip takes to notice.
+// Delegates per data centre. With two, the crash of one affects no more than
+// half of the claims until gossip has detected it.
 constexpr size_t kDelegates = 2;
 
-// Gathering time of a batch. Adds at most this to a claimed request; at two
-// delegates in five data centres it bounds the fleet to 500 transactions/s,
-// and batches in flight are capped below, which under a slow platform makes
-// batches larger instead of more.
-constexpr Duration kGather = std::chrono::milliseconds(20);
+// Longest time for which claims are collected into a batch while fewer than
+// kMaxBatchesInFlight are in flight; it adds to the latency of a keyed request.
+// With two delegates in each of five data centres it limits the fleet to 500
+// transactions/s unless batches fill up. The limit of batches in flight makes
+// batches larger, rather than more numerous, while the platform is slow.
+constexpr Duration kBatchDelay = std::chrono::milliseconds(20);
 constexpr size_t kMaxBatch = 100;
 constexpr size_t kMaxBatchesInFlight = 4;
-constexpr size_t kMaxGathering = 20'000;
+constexpr size_t kMaxQueuedClaims = 20'000;
 
-// After this long without a word from the platform the caller is told. Its
-// request was not run; holding it longer would only keep the caller waiting.
-constexpr Duration kGiveUp = std::chrono::milliseconds(1500);
+// Without an answer of the platform within this time the caller's request is
+// failed. It was not run here; holding it longer would only delay the caller.
+constexpr Duration kClaimTimeout = std::chrono::milliseconds(1500);
 
 std::string FormatHolder(const NodeRef& node, uint64_t claim_id) {
   return node.name + "#" + std::to_string(node.incarnation) + "#" +
@@ -57,12 +58,12 @@
 
 std::string ClaimCoordinator::DelegateFor(const std::string& key,
                                           const Context& context,
-                                          const std::string& avoided) const {
+                                          const std::string& excluded) const {
   std::vector<std::string> delegates = RendezvousChoose(
       membership_.AliveInDataCentre(), "claim-delegates", kDelegates);
-  delegates.erase(std::remove(delegates.begin(), delegates.end(), avoided),
+  delegates.erase(std::remove(delegates.begin(), delegates.end(), excluded),
                   delegates.end());
-  // Alone, or cut off from the delegates: claim for ourselves.
+  // Alone, or partitioned from the delegates: this node claims by itself.
   if (delegates.empty()) return context.identity.node.name;
   return RendezvousChoose(delegates, key, 1).front();
 }
@@ -72,8 +73,8 @@
   stats_.Count("amaranth_claims_total");
   Pending pending;
   pending.key = key;
-  pending.give_up = context.now + kGiveUp;
-  deadlines_.Add(pending.give_up, claim_id);
+  pending.deadline = context.now + kClaimTimeout;
+  deadlines_.Add(pending.deadline, claim_id);
   Pending& stored =
       pending_.emplace(claim_id, std::move(pending)).first->second;
   Send(claim_id, stored, context);
@@ -107,37 +108,39 @@
   }
 }
 
-void ClaimCoordinator::AddToBatch(const NodeRef& asker, const KeyClaim& claim,
-                                  Context& context) {
-  const Batched batched{asker, claim};
-  if (!context.identity.use_platform || gathering_.size() >= kMaxGathering) {
+void ClaimCoordinator::AddToBatch(const NodeRef& requester,
+                                  const KeyClaim& claim, Context& context) {
+  const BatchedClaim batched{requester, claim};
+  if (!context.identity.use_platform ||
+      queued_claims_.size() >= kMaxQueuedClaims) {
     Reply(batched, false, "", context);
     return;
   }
-  gathering_.push_back(batched);
-  if (flush_at_ == kNever) flush_at_ = context.now + kGather;
-  if (gathering_.size() >= kMaxBatch) Flush(context);
+  queued_claims_.push_back(batched);
+  if (flush_at_ == kNever) flush_at_ = context.now + kBatchDelay;
+  if (queued_claims_.size() >= kMaxBatch) Flush(context);
 }
 
 void ClaimCoordinator::Flush(Context& context) {
-  while (!gathering_.empty() && in_flight_.size() < kMaxBatchesInFlight) {
-    const size_t count = std::min(gathering_.size(), kMaxBatch);
+  while (!queued_claims_.empty() && in_flight_.size() < kMaxBatchesInFlight) {
+    const size_t count = std::min(queued_claims_.size(), kMaxBatch);
     Batch batch;
     TableClaimRows rows;
     for (size_t i = 0; i < count; ++i) {
-      const Batched& batched = gathering_[i];
+      const BatchedClaim& batched = queued_claims_[i];
       rows.rows.push_back(
           {batched.claim.key,
-           FormatHolder(batched.asker, batched.claim.claim_id)});
+           FormatHolder(batched.requester, batched.claim.claim_id)});
       batch.claims.push_back(batched);
     }
-    gathering_.erase(gathering_.begin(),
-                     gathering_.begin() + static_cast<ptrdiff_t>(count));
+    queued_claims_.erase(
+        queued_claims_.begin(),
+        queued_claims_.begin() + static_cast<ptrdiff_t>(count));
     const PlatformOpId op = context.NextId();
     in_flight_.emplace(op, std::move(batch));
     context.Emit(SendPlatform{op, std::move(rows)});
   }
-  flush_at_ = gathering_.empty() ? kNever : context.now + kGather;
+  flush_at_ = queued_claims_.empty() ? kNever : context.now + kBatchDelay;
 }
 
 bool ClaimCoordinator::OnPlatformReplied(const PlatformReplied& replied,
@@ -155,7 +158,7 @@
   return true;
 }
 
-void ClaimCoordinator::Reply(const Batched& batched, bool known,
+void ClaimCoordinator::Reply(const BatchedClaim& batched, bool known,
                              const std::string& holder, Context& context) {
   ClaimOutcome outcome;
   if (known) {
@@ -168,8 +171,8 @@
   outcome.claim_id = batched.claim.claim_id;
   ClaimReply reply;
   reply.outcomes.push_back(std::move(outcome));
-  const Endpoint address = membership_.PeerAddressOf(batched.asker.name);
-  outbox_.Send(batched.asker.name, address, std::move(reply), context);
+  const Endpoint address = membership_.PeerAddressOf(batched.requester.name);
+  outbox_.Send(batched.requester.name, address, std::move(reply), context);
 }
 
 void ClaimCoordinator::OnClaimReply(const ClaimReply& reply, Context& context) {
@@ -182,8 +185,8 @@
 
 void ClaimCoordinator::Finish(const ClaimResult& result, Context& context) {
   const auto found = pending_.find(result.claim_id);
-  if (found == pending_.end()) return;  // given up on, or answered twice
-  deadlines_.Remove(found->second.give_up, result.claim_id);
+  if (found == pending_.end()) return;  // timed out, or answered twice
+  deadlines_.Remove(found->second.deadline, result.claim_id);
   pending_.erase(found);
   if (!result.known) stats_.Count("amaranth_claims_unknown_total");
   on_result(result, context);
@@ -196,12 +199,12 @@
   }
   for (const uint64_t claim_id : lost) {
     Pending& pending = pending_.at(claim_id);
-    if (pending.tried_again) {
+    if (pending.retried) {
       Finish({claim_id, false, {}, 0}, context);
       continue;
     }
-    // Claiming again is harmless: the row names this very claim.
-    pending.tried_again = true;
+    // Sending the claim again is safe: the row names this claim as its holder.
+    pending.retried = true;
     Send(claim_id, pending, context);
   }
 }
--- a/src/libnode/entry/claim_coordinator.h
+++ b/src/libnode/entry/claim_coordinator.h
@@ -1,16 +1,16 @@
 #ifndef AMARANTHROUTE_LIBNODE_ENTRY_CLAIM_COORDINATOR_H_
 #define AMARANTHROUTE_LIBNODE_ENTRY_CLAIM_COORDINATOR_H_
 
-// Claims of idempotency keys in the platform's table: asked for by this node's
-// own calls, and batched for its data centre where it is the delegate.
+// Claims idempotency keys in the platform's table for the calls of this node
+// and, where it is a delegate, for the other nodes of its data centre.
 //
-// What it answers: at the size planned, single claims would be tens of
-// thousands of writes a second against a table that takes several hundred. So
-// the nodes of a data centre send their claims to one of a few delegates,
-// chosen by hash, which puts a few milliseconds' worth into one transaction.
+// At the planned fleet size, single claims would be tens of thousands of writes
+// per second against a table that takes several hundred. So the nodes of a data
+// centre send their claims to one of a few delegates, chosen by hash, which
+// batches the claims of a few milliseconds into one transaction.
 //
-// A claim never lapses. It names its holder (node, incarnation and claim), so
-// after a lost answer a second insert or a read tells whose it is.
+// A claim never expires. It names its holder (node, incarnation and claim id),
+// so after a lost answer a second insert or a read shows who holds the key.
 
 #include <cstdint>
 #include <functional>
@@ -27,10 +27,10 @@
 
 namespace amaranth::pvt {
 
-// How one claim of this node ended.
+// The result of one claim of this node.
 struct ClaimResult {
   uint64_t claim_id = 0;
-  bool known = false;  // false: the platform did not tell in time
+  bool known = false;  // false: the platform did not answer in time
   NodeRef holder;
   uint64_t holder_claim_id = 0;
 };
@@ -41,14 +41,14 @@
 
   std::function<void(const ClaimResult&, Context&)> on_result;
 
-  // Asks for the key. Ends in exactly one on_result, also without platform.
+  // Claims the key. Causes exactly one on_result, also without a platform.
   void Claim(uint64_t claim_id, const std::string& key, Context& context);
 
-  // As delegate: claims of another node of the data centre.
+  // As a delegate, handles claims of another node of the data centre.
   void OnClaimRequest(const NodeRef& from, const ClaimRequest& request,
                       Context& context);
   void OnClaimReply(const ClaimReply& reply, Context& context);
-  // The link to a delegate broke, or could not be made.
+  // Handles a link to a delegate that broke or could not be opened.
   void OnPeerLost(const std::string& peer, Context& context);
   bool OnPlatformReplied(const PlatformReplied& replied, Context& context);
   void OnTimer(Context& context);
@@ -58,33 +58,33 @@
   struct Pending {
     std::string key;
     std::string delegate;
-    TimePoint give_up{};
-    bool tried_again = false;
+    TimePoint deadline{};
+    bool retried = false;
   };
-  struct Batched {
-    NodeRef asker;
+  struct BatchedClaim {
+    NodeRef requester;
     KeyClaim claim;
   };
   struct Batch {
-    std::vector<Batched> claims;
+    std::vector<BatchedClaim> claims;
   };
 
   std::string DelegateFor(const std::string& key, const Context& context,
-                          const std::string& avoided) const;
+                          const std::string& excluded) const;
   void Send(uint64_t claim_id, Pending& pending, Context& context);
-  void AddToBatch(const NodeRef& asker, const KeyClaim& claim,
+  void AddToBatch(const NodeRef& requester, const KeyClaim& claim,
                   Context& context);
   void Flush(Context& context);
-  void Reply(const Batched& batched, bool known, const std::string& holder,
+  void Reply(const BatchedClaim& batched, bool known, const std::string& holder,
              Context& context);
   void Finish(const ClaimResult& result, Context& context);
 
   Membership& membership_;
   Outbox& outbox_;
   Stats& stats_;
-  std::map<uint64_t, Pending> pending_;  // our own, by claim id
+  std::map<uint64_t, Pending> pending_;  // of this node, by claim id
   DeadlineSet deadlines_;
-  std::vector<Batched> gathering_;
+  std::vector<BatchedClaim> queued_claims_;
   TimePoint flush_at_ = kNever;
   std::map<PlatformOpId, Batch> in_flight_;
 };
--- a/src/libnode/entry/entry_begin.cc
+++ b/src/libnode/entry/entry_begin.cc
@@ -1,4 +1,4 @@
-// From a request to its first try.
+// Handles a request until its first attempt.
 
 #include <algorithm>
 
@@ -10,10 +10,11 @@
 namespace amaranth::pvt {
 namespace {
 
-// Deeper chains than this are loops: the users' are up to 6 deep.
+// Deeper call chains are taken for loops; those of the users are up to 6 deep.
 constexpr uint8_t kMaxDepth = 32;
 
-// Never passed on: they belong to one connection, or are ours to set.
+// Headers that are not forwarded: they belong to one connection, or are set by
+// the nodes.
 constexpr std::string_view kStrippedHeaders[] = {
     "Connection",
     "Keep-Alive",
@@ -32,9 +33,9 @@
     kRefusedHeader,
 };
 
-// The host that a request was sent to is ours, unless a route was chosen by it:
-// then it is part of what the backend server is asked for.
-HttpRequest Cleaned(const HttpRequest& request, bool routed) {
+// Removes the headers that are not forwarded. "Host" names this node and is
+// removed, unless a route was chosen by it: then the backend server needs it.
+HttpRequest WithoutNodeHeaders(const HttpRequest& request, bool routed) {
   HttpRequest cleaned = request;
   for (const std::string_view name : kStrippedHeaders) {
     RemoveHeader(cleaned.headers, name);
@@ -62,15 +63,16 @@
   return Hash64(request.body.view(), head);
 }
 
-// What the call's own class says of it, whatever request it serves.
-void TakeClass(Call& call, const EffectiveSettings& settings,
-               const CallerHeaders& headers, bool routed) {
-  CallContext& about = call.context;
-  about.long_work = settings.long_work;
-  about.idempotent = IsIdempotent(settings, call.request.method);
-  about.fingerprint = FingerprintOf(about.service, call.request);
-  call.own_class = headers.request_class;
-  if (routed) call.most_tries = 1 + static_cast<int>(settings.retry_credits);
+// Applies the settings of the call's own class, which may differ from the class
+// of the request that it belongs to.
+void ApplyClassSettings(Call& call, const EffectiveSettings& settings,
+                        const CallerHeaders& headers, bool routed) {
+  CallContext& call_context = call.context;
+  call_context.long_work = settings.long_work;
+  call_context.idempotent = IsIdempotent(settings, call.request.method);
+  call_context.fingerprint = FingerprintOf(call_context.service, call.request);
+  call.call_class = headers.request_class;
+  if (routed) call.max_attempts = 1 + static_cast<int>(settings.retry_credits);
 }
 
 }  // namespace
@@ -93,56 +95,57 @@
                                    event.request.target);
   if (route == nullptr) {
     const std::string id(FindHeader(event.request.headers, kRequestIdHeader));
-    return RefuseUnbuilt(waiter, Verdict::kNotRun, Reason::kNoRoute, id,
-                         "no route takes this host and path", context);
+    return RefuseUnregistered(waiter, Verdict::kNotRun, Reason::kNoRoute, id,
+                              "no route matches this host and path", context);
   }
-  const RoutedTo routed{DrawTarget(*route, context.random), route->name};
+  const MatchedRoute routed{DrawTarget(*route, context.random), route->name};
   Begin(waiter, event.request, routed, std::nullopt, context);
 }
 
 void EntryRole::OnTicketRequest(CallId http_call, Context& context) {
-  const std::string ticket = FormatTicket(keys_.Mint(context));
+  const std::string ticket = FormatTicket(keys_.IssueTicket(context));
   context.Emit(AnswerCaller{
       http_call, JsonResponse(200, "{\"ticket\":\"" + ticket + "\"}")});
 }
 
 void EntryRole::Begin(const Waiter& waiter, const HttpRequest& request,
-                      const std::optional<RoutedTo>& routed,
+                      const std::optional<MatchedRoute>& routed,
                       std::optional<Duration> remaining, Context& context) {
   const Outcome<CallerHeaders> parsed = ParseCallerHeaders(request, routed);
   if (!parsed) {
-    return RefuseUnbuilt(waiter, Verdict::kNotRun, Reason::kBadRequest, "",
-                         parsed.error().message, context);
+    return RefuseUnregistered(waiter, Verdict::kNotRun, Reason::kBadRequest, "",
+                              parsed.error().message, context);
   }
   const CallerHeaders& headers = parsed.value();
   Outcome<Call> built =
       BuildCall(request, headers, routed.has_value(), remaining, context);
   if (!built) {
-    return RefuseUnbuilt(waiter, Verdict::kNotRun, Reason::kBadRequest,
-                         headers.request_id, built.error().message, context);
+    return RefuseUnregistered(waiter, Verdict::kNotRun, Reason::kBadRequest,
+                              headers.request_id, built.error().message,
+                              context);
   }
   Call call = std::move(built.value());
-  if (!context.identity.rules.ids_name_sendings) TakeKey(call, headers);
+  if (!context.identity.rules.ids_name_sendings) AssignKey(call, headers);
   if (!parts_.membership.ServiceKnown(headers.service)) {
-    ReturnLoan(call);
-    // This node knows of no server, but an earlier asking under the same key
-    // may have met a node that did.
+    ReturnGrant(call);
+    // This node knows no server of the service, but an earlier request with the
+    // same key may have come to a node that did.
     const Verdict verdict =
         call.key.empty() ? Verdict::kNotRun : Verdict::kMayHaveRun;
-    return RefuseUnbuilt(
+    return RefuseUnregistered(
         waiter, verdict, Reason::kUnknownService, call.context.request_id,
         "no backend server has announced this service", context);
   }
   if (call.is_root) {
-    admission_.TakeLevel(call, context.identity.rules.admit_at_edge,
-                         context.now);
+    admission_.AssignLevel(call, context.identity.rules.admit_at_edge,
+                           context.now);
   }
   parts_.stats.Count("amaranth_requests_total");
   call.joinable = call.is_root && !headers.request_id.empty() &&
                   !context.identity.rules.ids_name_sendings;
   if (JoinInFlight(call, waiter)) return;
   call.waiters.push_back(waiter);
-  if (RefuseNestedRepeat(call, context)) return;
+  if (RefuseNestedRetry(call, context)) return;
 
   if (!call.key.empty()) {
     BeginKeyed(std::move(call), waiter.http_call == 0, context);
@@ -158,29 +161,32 @@
                                    Context& context) {
   Call call;
   call.id = context.NextId();
-  call.request = Cleaned(request, routed);
+  call.request = WithoutNodeHeaders(request, routed);
   call.started = context.now;
-  CallContext& about = call.context;
-  about.mesh = parts_.settings.mesh();
-  about.service = headers.service;
-  about.request_class = headers.request_class;
-  about.tenant = headers.tenant;
-  about.caller_key = headers.caller.empty() ? headers.tenant : headers.caller;
-  about.request_id = headers.request_id;
-  if (about.request_id.empty()) {
-    about.request_id = context.identity.node.name + "-" +
-                       std::to_string(context.identity.node.incarnation) + "-" +
-                       std::to_string(call.id);
+  CallContext& call_context = call.context;
+  call_context.mesh = parts_.settings.mesh();
+  call_context.service = headers.service;
+  call_context.request_class = headers.request_class;
+  call_context.tenant = headers.tenant;
+  call_context.caller_key =
+      headers.caller.empty() ? headers.tenant : headers.caller;
+  call_context.request_id = headers.request_id;
+  if (call_context.request_id.empty()) {
+    call_context.request_id =
+        context.identity.node.name + "-" +
+        std::to_string(context.identity.node.incarnation) + "-" +
+        std::to_string(call.id);
   }
   if (!headers.context_token.empty()) {
     return BuildNested(std::move(call), headers, routed, context);
   }
   const EffectiveSettings& settings =
-      parts_.settings.Of(about.service, about.request_class);
-  about.tier = settings.tier;
-  TakeClass(call, settings, headers, routed);
+      parts_.settings.Of(call_context.service, call_context.request_class);
+  call_context.tier = settings.tier;
+  ApplyClassSettings(call, settings, headers, routed);
   Duration limit = headers.deadline.value_or(settings.deadline);
-  // A route's time limit is the operators' own: a caller may ask for less only.
+  // The deadline of a route is set by the operators: a caller may only shorten
+  // it.
   if (routed) limit = std::min(limit, settings.deadline);
   if (remaining) limit = std::min(limit, *remaining);
   call.deadline = context.now + limit;
@@ -200,22 +206,23 @@
   if (hop->context.depth + 1 >= kMaxDepth) {
     return Error{ErrorCode::kInvalid, "call chain is too deep"};
   }
-  // Identity and importance come from the request, not from the backend
-  // server: the same request must meet the same fate at every hop.
-  CallContext& about = call.context;
+  // Identity and tier are those of the request, whatever the backend server
+  // sends: a request must be admitted or shed in the same way at every hop.
+  CallContext& call_context = call.context;
   const CallContext& parent = hop->context;
-  about.request_id = parent.request_id;
-  about.request_class = parent.request_class;
-  about.tenant = parent.tenant;
-  about.caller_key = parent.caller_key;
-  about.tier = parent.tier;
-  about.level = parent.level;
-  about.depth = static_cast<uint8_t>(parent.depth + 1);
-  // A route says of its own calls what may be repeated and for how long they
-  // may wait, whatever request they serve.
+  call_context.request_id = parent.request_id;
+  call_context.request_class = parent.request_class;
+  call_context.tenant = parent.tenant;
+  call_context.caller_key = parent.caller_key;
+  call_context.tier = parent.tier;
+  call_context.level = parent.level;
+  call_context.depth = static_cast<uint8_t>(parent.depth + 1);
+  // A route sets for its own calls whether they may be retried and their
+  // deadline, independently of the request that they belong to.
   const EffectiveSettings& settings = parts_.settings.Of(
-      about.service, routed ? headers.request_class : about.request_class);
-  TakeClass(call, settings, headers, routed);
+      call_context.service,
+      routed ? headers.request_class : call_context.request_class);
+  ApplyClassSettings(call, settings, headers, routed);
   call.is_root = false;
   call.parent_hop = hop->id;
   call.deadline = hop->deadline;
@@ -226,26 +233,27 @@
     call.deadline = std::min(call.deadline, context.now + *headers.deadline);
   }
   ++hop->nested_calls;
-  call.lent_by_parent = hop->ledger.LendToNested();
-  call.ledger = CreditLedger(call.lent_by_parent);
+  call.granted_by_parent = hop->ledger.GrantToNested();
+  call.ledger = CreditLedger(call.granted_by_parent);
   return call;
 }
 
-void EntryRole::ReturnLoan(const Call& call) {
+void EntryRole::ReturnGrant(const Call& call) {
   Hop* hop = parts_.serving.FindHop(call.parent_hop);
   if (call.is_root || hop == nullptr) return;
-  hop->ledger.Return(call.lent_by_parent, call.lent_by_parent);
+  hop->ledger.Return(call.granted_by_parent, call.granted_by_parent);
 }
 
-void EntryRole::RefuseUnbuilt(const Waiter& waiter, Verdict verdict,
-                              Reason reason, const std::string& request_id,
-                              const std::string& detail, Context& context) {
+void EntryRole::RefuseUnregistered(const Waiter& waiter, Verdict verdict,
+                                   Reason reason, const std::string& request_id,
+                                   const std::string& detail,
+                                   Context& context) {
   Failure failure;
   failure.verdict = verdict;
   failure.reason = reason;
   failure.final = true;
   failure.detail = detail;
-  // A service may be unknown only because this node has just started.
+  // A service may be unknown because this node has just started.
   if (reason == Reason::kUnknownService) {
     failure.retry_after = RetryAfter(0, 0, context.random);
   }
@@ -254,22 +262,22 @@
   AnswerWaiter(waiter, failure, request_id, context);
 }
 
-bool EntryRole::RefuseNestedRepeat(Call& call, Context& context) {
+bool EntryRole::RefuseNestedRetry(Call& call, Context& context) {
   if (call.is_root) return false;
   Hop* hop = parts_.serving.FindHop(call.parent_hop);
   if (hop == nullptr) return false;
   const auto failed = hop->failed_nested.find(call.context.fingerprint);
   if (failed == hop->failed_nested.end()) return false;
-  // The backend server sends again what this node gave up on: a retry like any
-  // other, which would multiply with depth if it were free.
+  // The backend server repeats a nested call that failed here. This is a retry
+  // and costs a credit: free retries would multiply with depth.
   const bool safe =
       call.context.idempotent || failed->second == Verdict::kNotRun;
-  // The loan goes back whole before the repeat is paid for: a call that kept it
-  // would have credits that the hop lends out a second time.
-  ReturnLoan(call);
+  // The whole grant is returned before the retry is paid for. Otherwise the
+  // call would keep credits that the hop grants a second time.
+  ReturnGrant(call);
   if (safe && hop->ledger.Spend()) {
-    call.lent_by_parent = hop->ledger.LendToNested();
-    call.ledger = CreditLedger(call.lent_by_parent);
+    call.granted_by_parent = hop->ledger.GrantToNested();
+    call.ledger = CreditLedger(call.granted_by_parent);
     return false;
   }
   hop->nested_gave_up = true;
@@ -277,7 +285,7 @@
   failure.verdict = failed->second;
   failure.reason = Reason::kRetriesSpent;
   failure.final = true;
-  failure.detail = "this nested call was already given up on";
+  failure.detail = "this nested call has already failed";
   AnswerWaiter(call.waiters.front(), failure, call.context.request_id, context);
   return true;
 }
@@ -289,21 +297,21 @@
   if (found == joinable_.end()) return false;
   Call& running = calls_.at(found->second);
   if (running.context.fingerprint != call.context.fingerprint) return false;
-  // A resend brings no new credits: it shares the try in flight.
+  // A resend brings no new credits: it shares the attempt in flight.
   running.waiters.push_back(waiter);
   if (waiter.http_call != 0) by_http_call_[waiter.http_call] = running.id;
   parts_.stats.Count("amaranth_joined_total");
   return true;
 }
 
-void EntryRole::TakeKey(Call& call, const CallerHeaders& headers) {
+void EntryRole::AssignKey(Call& call, const CallerHeaders& headers) {
   const bool keyed = call.is_root && !call.context.idempotent;
   if (keyed && !headers.idempotency_key.empty()) {
     const bool is_ticket = ParseTicket(headers.idempotency_key).has_value();
     call.key = is_ticket ? headers.idempotency_key
                          : headers.tenant + "/" + headers.idempotency_key;
   } else if (keyed && !headers.request_id.empty()) {
-    // A caller that names its request may send it again under that name.
+    // A caller that sends a request id may resend the request with it.
     call.key = headers.tenant + "/request/" + headers.request_id;
   }
 }
@@ -326,22 +334,22 @@
   return id;
 }
 
-bool EntryRole::PassesInside(const Call& call, const Context& context) {
+bool EntryRole::SkipsAdmission(const Call& call, const Context& context) {
   return context.identity.rules.admit_at_edge && !call.is_root;
 }
 
-bool EntryRole::IsLetIn(Call& call, Failure& refusal, Context& context) {
+bool EntryRole::TryAdmit(Call& call, Failure& refusal, Context& context) {
   refusal.verdict = Verdict::kNotRun;
   refusal.reason = Reason::kShedAtEntry;
-  if (admission_.IsUnderThreshold(call, context.now)) {
+  if (admission_.IsBelowThreshold(call, context.now)) {
     refusal.detail = "a service of this call chain is overloaded";
     return false;
   }
   if (!context.identity.rules.admit_at_edge) return true;
-  if (admission_.TakePlace(call, context.random)) return true;
+  if (admission_.TryEnterWindow(call, context.random)) return true;
   parts_.stats.Count("amaranth_window_full_total",
-                     "class=\"" + call.own_class + "\"");
-  refusal.detail = "as many of its class are under way as end in time";
+                     "class=\"" + call.call_class + "\"");
+  refusal.detail = "the admission window of its class is full";
   return false;
 }
 
@@ -358,8 +366,8 @@
     return FinishWithFailure(call, std::move(failure), context);
   }
   Failure refusal;
-  if (!PassesInside(call, context) && !IsLetIn(call, refusal, context)) {
-    TellParent(call, context);
+  if (!SkipsAdmission(call, context) && !TryAdmit(call, refusal, context)) {
+    PropagateThreshold(call, context);
     return FinishWithFailure(call, std::move(refusal), context);
   }
   retry_budgets_[call.context.service].OnFirstTry(context.now);
@@ -367,8 +375,8 @@
     FleetShareOf(call.context.service, context.identity.rules)
         .OnRequest(context.now);
   }
-  if (TryNext(call, std::nullopt, context)) return;
-  TellParent(call, context);
+  if (StartNextAttempt(call, std::nullopt, context)) return;
+  PropagateThreshold(call, context);
   Failure failure;
   failure.verdict = Verdict::kNotRun;
   const bool any = !parts_.membership.ServersOf(call.context.service).empty();
--- a/src/libnode/entry/entry_finish.cc
+++ b/src/libnode/entry/entry_finish.cc
@@ -1,4 +1,4 @@
-// Answers, deadlines and callers that go away.
+// Answers, deadlines, and callers that disconnect.
 
 #include <algorithm>
 
@@ -9,13 +9,13 @@
 namespace amaranth::pvt {
 namespace {
 
-// How long a keyed call whose caller was answered at its deadline is kept for
-// its late answer. The serving node waits a little less for the backend
-// server (see kLateAnswerGrace there).
-constexpr Duration kLinger = std::chrono::seconds(6);
+// How long a keyed call whose caller was answered at the deadline is kept for
+// its late answer. The serving node waits a little less for the backend server
+// (see kLateAnswerGrace there).
+constexpr Duration kLateAnswerTimeout = std::chrono::seconds(6);
 constexpr Duration kExpiryPeriod = std::chrono::seconds(1);
 
-bool ComingBackHelps(Reason reason) {
+bool ResendMayHelp(Reason reason) {
   return reason != Reason::kQuarantined && reason != Reason::kBadRequest &&
          reason != Reason::kTooLarge;
 }
@@ -24,108 +24,111 @@
 
 void EntryRole::FinishWithResponse(Call& call, const HttpResponse& response,
                                    Context& context) {
-  HttpResponse whole = response;
-  RemoveHeader(whole.headers, kFinalHeader);
-  SetHeader(whole.headers, kVerdictHeader, ToString(Verdict::kRan));
-  SetHeader(whole.headers, kRequestIdHeader, call.context.request_id);
-  if (whole.status < 500) {
+  HttpResponse annotated = response;
+  RemoveHeader(annotated.headers, kFinalHeader);
+  SetHeader(annotated.headers, kVerdictHeader, ToString(Verdict::kRan));
+  SetHeader(annotated.headers, kRequestIdHeader, call.context.request_id);
+  if (annotated.status < 500) {
     answered_.Insert(call.context.fingerprint, context.now);
   }
-  SettleKey(call, &whole, Failure());
-  EndPlace(call, whole.status < 500, context.now);
+  UpdateKeyRecord(call, &annotated, Failure());
+  CompleteInWindow(call, annotated.status < 500, context.now);
   std::optional<Verdict> failed;
-  if (whole.status >= 500) failed = Verdict::kRan;
-  ReturnToParent(call, false, failed, context.now);
+  if (annotated.status >= 500) failed = Verdict::kRan;
+  ReportToParent(call, false, failed, context.now);
   const Duration latency = context.now - call.started;
   if (call.is_root) {
     parts_.stats.Observe(call.context.tenant, call.context.request_class,
-                         whole.status < 500 ? "ok" : "server-error", latency);
+                         annotated.status < 500 ? "ok" : "server-error",
+                         latency);
   }
   parts_.records.Add(context.now, call.context.request_id, "answer",
-                     "status " + std::to_string(whole.status) + " from " +
+                     "status " + std::to_string(annotated.status) + " from " +
                          call.context.service + " after " +
-                         std::to_string(call.tries) + " tries, " +
+                         std::to_string(call.attempts) + " attempts, " +
                          std::to_string(latency.count()) + " us");
   const std::vector<Waiter> waiters = call.waiters;
   Remove(call);
-  for (const Waiter& waiter : waiters) AnswerWaiter(waiter, whole, context);
+  for (const Waiter& waiter : waiters) AnswerWaiter(waiter, annotated, context);
 }
 
 void EntryRole::FinishWithFailure(Call& call, Failure failure,
                                   Context& context) {
-  const CallContext about = call.context;
-  if (call.doubt && failure.verdict == Verdict::kNotRun) {
+  const CallContext call_context = call.context;
+  if (call.may_have_run && failure.verdict == Verdict::kNotRun) {
     failure.verdict = Verdict::kMayHaveRun;
   }
-  // Layers above must not retry what was retried here, nor add load to what
-  // was shed. Without a credit for a try of its own this layer has not
-  // retried, and one above that has credits may.
-  failure.final = failure.final || call.tries > 1 || IsOverload(failure.reason);
+  // Upstream layers must not retry what was retried here, nor add load to a
+  // service that sheds it. If this layer had no credit and has not retried, an
+  // upstream layer that has credits may.
+  failure.final =
+      failure.final || call.attempts > 1 || IsOverload(failure.reason);
   const Duration target =
-      parts_.settings.Of(about.service, call.own_class).target_p99;
-  const bool turned_away =
+      parts_.settings.Of(call_context.service, call.call_class).target_p99;
+  const bool shed =
       failure.verdict == Verdict::kNotRun && IsOverload(failure.reason);
-  if (context.identity.rules.admit_at_edge && call.is_root && turned_away &&
+  if (context.identity.rules.admit_at_edge && call.is_root && shed &&
       target > Duration::zero()) {
     failure.retry_after =
         RetryWithinTarget(target, context.now - call.started, context.random);
   }
-  if (failure.retry_after.count() == 0 && ComingBackHelps(failure.reason)) {
-    const auto known =
-        retry_after_.find(about.service + "/" + about.request_class);
+  if (failure.retry_after.count() == 0 && ResendMayHelp(failure.reason)) {
+    const auto known = retry_after_.find(call_context.service + "/" +
+                                         call_context.request_class);
     failure.retry_after = known != retry_after_.end()
                               ? known->second
                               : RetryAfter(0, 0, context.random);
   }
-  SettleKey(call, nullptr, failure);
-  EndPlace(call, false, context.now);
-  ReturnToParent(call, failure.final, failure.verdict, context.now);
+  UpdateKeyRecord(call, nullptr, failure);
+  CompleteInWindow(call, false, context.now);
+  ReportToParent(call, failure.final, failure.verdict, context.now);
   const std::string reason(ToString(failure.reason));
   if (call.is_root) {
-    parts_.stats.Observe(about.tenant, about.request_class, reason,
-                         context.now - call.started);
+    parts_.stats.Observe(call_context.tenant, call_context.request_class,
+                         reason, context.now - call.started);
   }
   parts_.stats.Count("amaranth_failed_total", "reason=\"" + reason + "\"");
-  parts_.records.Add(context.now, about.request_id, "fail",
+  parts_.records.Add(context.now, call_context.request_id, "fail",
                      reason + " (" + std::string(ToString(failure.verdict)) +
-                         ") at " + about.service + " after " +
-                         std::to_string(call.tries) +
-                         " tries: " + failure.detail);
+                         ") at " + call_context.service + " after " +
+                         std::to_string(call.attempts) +
+                         " attempts: " + failure.detail);
   LogFailure(call, failure, context);
   const std::vector<Waiter> waiters = call.waiters;
   Remove(call);
   for (const Waiter& waiter : waiters) {
-    AnswerWaiter(waiter, failure, about.request_id, context);
+    AnswerWaiter(waiter, failure, call_context.request_id, context);
   }
 }
 
-// A route's time limit may be shorter than its target: then that is what its
-// requests have to end in.
-void EntryRole::EndPlace(Call& call, bool served, TimePoint now) {
-  if (!call.has_place) return;
+// The target is limited by the time that the request had, because the deadline
+// of a route may be shorter than its latency target.
+void EntryRole::CompleteInWindow(Call& call, bool served, TimePoint now) {
+  if (!call.in_window) return;
   const Duration target =
-      parts_.settings.Of(call.context.service, call.own_class).target_p99;
-  admission_.EndPlace(call, served,
-                      std::min(target, call.deadline - call.started), now);
+      parts_.settings.Of(call.context.service, call.call_class).target_p99;
+  admission_.CompleteInWindow(
+      call, served, std::min(target, call.deadline - call.started), now);
 }
 
-// What an engineer needs who has only the id of a failed request: which call of
-// it failed, why, and on what grounds.
+// Logs which call of a request failed, the reason, and the figures behind the
+// decision, so that an engineer can explain a failure from the request id
+// alone.
 void EntryRole::LogFailure(const Call& call, const Failure& failure,
                            Context& context) {
-  const CallContext& about = call.context;
-  std::string text = "request=" + about.request_id;
-  text += " class=" + call.own_class;
-  text += " service=" + about.service;
-  text += " depth=" + std::to_string(about.depth);
+  const CallContext& call_context = call.context;
+  std::string text = "request=" + call_context.request_id;
+  text += " class=" + call.call_class;
+  text += " service=" + call_context.service;
+  text += " depth=" + std::to_string(call_context.depth);
   text += " outcome=" + std::string(ToString(failure.reason));
   text += " verdict=" + std::string(ToString(failure.verdict));
-  text += " tries=" + std::to_string(call.tries);
-  text += " reached=" + std::to_string(call.reached);
-  text += " level=" + std::to_string(about.level);
+  text += " tries=" + std::to_string(call.attempts);
+  text += " reached=" + std::to_string(call.arrivals);
+  text += " level=" + std::to_string(call_context.level);
   text += " threshold=" +
           std::to_string(admission_.ThresholdFor(call, context.now));
-  text += " window=" + std::to_string(admission_.WindowOf(call));
+  text += " window=" + std::to_string(admission_.WindowLimit(call));
   text += " waited_ms=" + std::to_string(ToMillis(call.waited));
   text += " held_ms=" + std::to_string(ToMillis(context.now - call.started));
   text += " left_ms=" + std::to_string(ToMillis(call.deadline - context.now));
@@ -133,13 +136,13 @@
   context.Log(LogLevel::kInfo, "entry", std::move(text));
 }
 
-void EntryRole::ReturnToParent(const Call& call, bool gave_up,
+void EntryRole::ReportToParent(const Call& call, bool gave_up,
                                std::optional<Verdict> failed, TimePoint now) {
   if (call.is_root) return;
   Hop* hop = parts_.serving.FindHop(call.parent_hop);
   if (hop == nullptr) return;
   hop->EndNested(now);
-  hop->ledger.Return(call.lent_by_parent, call.ledger.available());
+  hop->ledger.Return(call.granted_by_parent, call.ledger.available());
   hop->nested_waited += call.waited;
   if (!failed) return;
   hop->failed_nested[call.context.fingerprint] = *failed;
@@ -153,7 +156,7 @@
     by_http_call_.erase(waiter.http_call);
   }
   EndAttempt(call, std::nullopt, false, TimePoint());
-  admission_.AbandonPlace(call);
+  admission_.AbandonInWindow(call);
   if (call.joinable) {
     const auto joined =
         joinable_.find(call.context.tenant + "/" + call.context.request_id);
@@ -176,11 +179,11 @@
                              Context& context) {
   if (waiter.http_call != 0) {
     HttpResponse answer = response;
-    // A ticket with every answer: the caller's next renewal then needs no
-    // platform, also while it is down.
+    // Every answer carries a ticket, so that the caller's next renewal does not
+    // depend on the platform.
     if (!context.identity.rules.ids_name_sendings) {
       SetHeader(answer.headers, kTicketHeader,
-                FormatTicket(keys_.Mint(context)));
+                FormatTicket(keys_.IssueTicket(context)));
     }
     context.Emit(AnswerCaller{waiter.http_call, std::move(answer)});
     return;
@@ -230,12 +233,12 @@
                                       return waiter.http_call == http_call;
                                     }),
                      call.waiters.end());
-  // A keyed call goes on without its caller, who may come back for the answer;
-  // stopping a charge half way would leave only doubt.
+  // A keyed call continues without its caller, which may resend it to get the
+  // answer. Cancelling a charge in progress would leave its outcome unknown.
   if (!call.waiters.empty() || !call.key.empty()) return;
   parts_.stats.Count("amaranth_abandoned_total");
   CancelAttempt(call, context);
-  ReturnToParent(call, false, Verdict::kMayHaveRun, context.now);
+  ReportToParent(call, false, Verdict::kMayHaveRun, context.now);
   Remove(call);
 }
 
@@ -261,16 +264,18 @@
     Call* call = FindCall(id);
     if (call == nullptr) continue;
     Failure failure;
-    const bool outstanding = call->attempt.has_value();
-    // A key that is still being claimed may be another node's, which ran it.
-    const bool unknown = outstanding || call->phase == CallPhase::kClaiming;
-    failure.verdict = unknown ? Verdict::kMayHaveRun : Verdict::kNotRun;
+    const bool in_flight = call->attempt.has_value();
+    // A key whose claim is in flight may be held by another node, which ran it.
+    const bool outcome_unknown =
+        in_flight || call->phase == CallPhase::kClaiming;
+    failure.verdict = outcome_unknown ? Verdict::kMayHaveRun : Verdict::kNotRun;
     failure.reason = Reason::kDeadline;
     failure.detail = "the deadline passed";
     failure.final = true;
-    const bool keep = outstanding && !call->key.empty() &&
-                      call->phase == CallPhase::kRunning && !call->lingering;
-    if (!keep) {
+    const bool wait_for_answer = in_flight && !call->key.empty() &&
+                                 call->phase == CallPhase::kRunning &&
+                                 !call->awaits_late_answer;
+    if (!wait_for_answer) {
       CancelAttempt(*call, context);
       FinishWithFailure(*call, std::move(failure), context);
       continue;
@@ -281,8 +286,8 @@
       AnswerWaiter(waiter, failure, call->context.request_id, context);
     }
     call->waiters.clear();
-    call->lingering = true;
-    call->deadline = context.now + kLinger;
+    call->awaits_late_answer = true;
+    call->deadline = context.now + kLateAnswerTimeout;
     deadlines_.Add(call->deadline, id);
   }
   if (context.now >= next_expiry_) {
--- a/src/libnode/entry/entry_keys.cc
+++ b/src/libnode/entry/entry_keys.cc
@@ -1,4 +1,5 @@
-// At most once: requests whose key has one dispatcher for good.
+// At-most-once execution of keyed requests: each key has one dispatcher
+// permanently.
 
 #include "amaranthroute/policy/retry_after.h"
 #include "libnode/entry/entry_role.h"
@@ -25,22 +26,22 @@
   const std::optional<Ticket> ticket = ParseTicket(call.key);
   if (ticket) return BeginWithTicket(std::move(call), *ticket, context);
   if (forwarded_here) {
-    // The platform says this process holds the key, yet it has no record: the
-    // record was dropped with age. Whether it ran is not known any more.
-    Call& known = calls_.at(Register(std::move(call)));
+    // By the platform's table this process holds the key, but it has no record:
+    // the record has expired. Whether the request ran is no longer known.
+    Call& registered = calls_.at(Register(std::move(call)));
     return FinishWithFailure(
-        known,
+        registered,
         KeyFailure(Verdict::kMayHaveRun, Reason::kClaimedElsewhere,
-                   "the key was used before; its result is forgotten"),
+                   "the key was used before; its result is no longer stored"),
         context);
   }
-  record = keys_.Hold(call.key, call.context.fingerprint, context.now);
+  record = keys_.Create(call.key, call.context.fingerprint, context.now);
   if (record == nullptr) {
-    Call& known = calls_.at(Register(std::move(call)));
+    Call& registered = calls_.at(Register(std::move(call)));
     return FinishWithFailure(
-        known,
+        registered,
         KeyFailure(Verdict::kMayHaveRun, Reason::kTooLarge,
-                   "this node remembers as many keys as it can"),
+                   "this node holds as many idempotency keys as it can"),
         context);
   }
   BeginClaim(std::move(call), *record, context);
@@ -62,11 +63,11 @@
       Call& running = calls_.at(record.call);
       running.waiters.push_back(waiter);
       if (waiter.http_call != 0) by_http_call_[waiter.http_call] = running.id;
-      // While it lingers the old deadline has passed; the new caller brings
-      // its own.
-      if (running.lingering) {
+      // The deadline of the first caller has passed; that of the resend applies
+      // from here on.
+      if (running.awaits_late_answer) {
         deadlines_.Remove(running.deadline, running.id);
-        running.lingering = false;
+        running.awaits_late_answer = false;
         running.deadline = call.deadline;
         deadlines_.Add(running.deadline, running.id);
       }
@@ -76,17 +77,17 @@
     case KeyState::kDone:
       parts_.stats.Count("amaranth_remembered_total");
       return AnswerWaiter(waiter, record.answer, context);
-    case KeyState::kForgotten:
+    case KeyState::kAnswerEvicted:
       return AnswerWaiter(
           waiter,
           KeyFailure(Verdict::kRan, Reason::kClaimedElsewhere,
-                     "the request ran; its answer is no longer at hand"),
+                     "the request ran; its answer is no longer stored"),
           request_id, context);
-    case KeyState::kDoubt:
+    case KeyState::kOutcomeUnknown:
       return AnswerWaiter(waiter, record.failure, request_id, context);
     case KeyState::kUnclaimed:
       return BeginClaim(std::move(call), record, context);
-    case KeyState::kIdle:
+    case KeyState::kProvedNotRun:
       break;
   }
   record.state = KeyState::kRunning;
@@ -97,26 +98,28 @@
 
 void EntryRole::BeginWithTicket(Call call, const Ticket& ticket,
                                 Context& context) {
-  Call& known = calls_.at(Register(std::move(call)));
+  Call& registered = calls_.at(Register(std::move(call)));
   const NodeRef home{ticket.home, ticket.incarnation};
   if (home != context.identity.node) {
-    return ForwardToHome(known, home, context);
+    return ForwardToHome(registered, home, context);
   }
   KeyRecord* record = nullptr;
   if (keys_.IsUsable(ticket, context.now)) {
-    record = keys_.Hold(known.key, known.context.fingerprint, context.now);
+    record = keys_.Create(registered.key, registered.context.fingerprint,
+                          context.now);
   }
   if (record == nullptr) {
-    // A ticket too old has no record any more even if it was used.
+    // The record of a ticket that is too old was dropped, even if the ticket
+    // was used.
     return FinishWithFailure(
-        known,
+        registered,
         KeyFailure(Verdict::kMayHaveRun, Reason::kBadRequest,
-                   "the ticket is too old, or this node did not mint it"),
+                   "the ticket is too old, or this node did not issue it"),
         context);
   }
   record->state = KeyState::kRunning;
-  record->call = known.id;
-  StartRunning(known, context);
+  record->call = registered.id;
+  StartRunning(registered, context);
 }
 
 void EntryRole::BeginClaim(Call call, KeyRecord& record, Context& context) {
@@ -125,9 +128,9 @@
   record.call = call.id;
   const uint64_t claim_id = record.claim_id;
   call.phase = CallPhase::kClaiming;
-  Call& known = calls_.at(Register(std::move(call)));
-  claims_[claim_id] = known.key;
-  parts_.claims.Claim(claim_id, known.key, context);
+  Call& registered = calls_.at(Register(std::move(call)));
+  claims_[claim_id] = registered.key;
+  parts_.claims.Claim(claim_id, registered.key, context);
 }
 
 void EntryRole::OnClaimResult(const ClaimResult& result, Context& context) {
@@ -143,9 +146,10 @@
   if (!result.known) {
     record->state = KeyState::kUnclaimed;
     if (call == nullptr) return;
-    // Nothing was dispatched here. But a caller that lost its answer asks again
-    // by another node, and only the platform knows of the first: told "not
-    // run", it would send its renewal under a new key and pay twice.
+    // Nothing was dispatched here. But the request may be a resend by a caller
+    // that lost its answer, and only the platform knows of the run at another
+    // node. Answered "not run", the caller would send its renewal with a new
+    // key and pay twice.
     Failure failure =
         KeyFailure(Verdict::kMayHaveRun, Reason::kPlatformDown,
                    "the idempotency key could not be claimed in time");
@@ -153,19 +157,19 @@
     return FinishWithFailure(*call, std::move(failure), context);
   }
   if (ours) {
-    record->state = KeyState::kIdle;
+    record->state = KeyState::kProvedNotRun;
     if (call == nullptr) return;
     record->state = KeyState::kRunning;
     return StartRunning(*call, context);
   }
-  keys_.Drop(key);
+  keys_.Erase(key);
   if (call == nullptr) return;
   if (result.holder == context.identity.node) {
-    // Claimed by this process for a record it has since dropped.
+    // Claimed by this process for a record that it has since dropped.
     return FinishWithFailure(
         *call,
         KeyFailure(Verdict::kMayHaveRun, Reason::kClaimedElsewhere,
-                   "the key was used before; its result is forgotten"),
+                   "the key was used before; its result is no longer stored"),
         context);
   }
   ForwardToHome(*call, result.holder, context);
@@ -179,7 +183,7 @@
                          member->state != MemberState::kDead;
   if (!reachable || call.waiters.front().http_call == 0) {
     // The process that may have run it is gone, or this request was already
-    // passed on once: nobody can tell, so nobody may run it.
+    // forwarded once. Whether it ran is unknown, so it must not run here.
     return FinishWithFailure(
         call,
         KeyFailure(Verdict::kMayHaveRun, Reason::kHomeUnreachable,
@@ -219,19 +223,19 @@
   Begin(waiter, forward.request, std::nullopt, forward.remaining, context);
 }
 
-void EntryRole::SettleKey(const Call& call, const HttpResponse* response,
-                          const Failure& failure) {
+void EntryRole::UpdateKeyRecord(const Call& call, const HttpResponse* response,
+                                const Failure& failure) {
   if (call.key.empty() || call.phase == CallPhase::kForwarded) return;
   KeyRecord* record = keys_.Find(call.key);
   if (record == nullptr || record->call != call.id) return;
   if (call.phase == CallPhase::kClaiming) {
     record->state = KeyState::kUnclaimed;
   } else if (response != nullptr) {
-    keys_.Remember(*record, call.key, *response);
+    keys_.StoreAnswer(*record, call.key, *response);
   } else if (failure.verdict == Verdict::kNotRun) {
-    record->state = KeyState::kIdle;
+    record->state = KeyState::kProvedNotRun;
   } else {
-    record->state = KeyState::kDoubt;
+    record->state = KeyState::kOutcomeUnknown;
     record->failure = failure;
   }
   record->call = 0;
--- a/src/libnode/entry/entry_role.h
+++ b/src/libnode/entry/entry_role.h
@@ -1,9 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_ENTRY_ENTRY_ROLE_H_
 #define AMARANTHROUTE_LIBNODE_ENTRY_ENTRY_ROLE_H_
 
-// The node as entry of calls: a caller's request, a nested call of a backend
-// server of this host, or a request whose key has its home here. Admits, picks
-// backend servers, retries within the ledger, and answers.
+// The role of the node as entry node of calls: a caller's request, a nested
+// call of a backend server on this host, or a request whose key has its home
+// here. Admits calls, chooses backend servers, retries within the call's retry
+// credits, and answers.
 
 #include <cstdint>
 #include <map>
@@ -54,12 +55,13 @@
                      Context& context);
   void OnCallAnswer(const NodeRef& from, const CallAnswer& answer,
                     Context& context);
-  // Nothing is heard from it although it was asked: no new calls there.
+  // Handles an unresponsive peer: an answer is awaited, but nothing arrives.
+  // New calls avoid it.
   void OnPeerQuiet(const std::string& peer, Context& context);
-  void OnPeerHeard(const std::string& peer) { choice_.OnReached(peer); }
-  // The link is gone: attempts there may have run.
+  void OnPeerHeard(const std::string& peer) { choice_.OnReachable(peer); }
+  // Handles a lost link: attempts in flight at the peer may have run.
   void OnPeerLost(const std::string& peer, Context& context);
-  // Proved never sent.
+  // Handles a message that is proved never to have been sent.
   void OnSendFailed(const std::string& peer, const PeerMessage& message,
                     Context& context);
   void OnClaimResult(const ClaimResult& result, Context& context);
@@ -67,68 +69,72 @@
   void OnTimer(Context& context);
   TimePoint next_timer() const;
 
-  // Whether an answer of `peer` is awaited.
+  // Returns whether an answer of `peer` is awaited.
   bool Awaits(const std::string& peer) const {
-    return awaited_.count(peer) > 0;
+    return in_flight_by_peer_.count(peer) > 0;
   }
   size_t calls() const { return calls_.size(); }
   const ServerChoice& choice() const { return choice_; }
   const KeyRegistry& keys() const { return keys_; }
 
  private:
-  // entry_begin.cc: from the request to the first try.
+  // entry_begin.cc: from the request to the first attempt.
   void Begin(const Waiter& waiter, const HttpRequest& request,
-             const std::optional<RoutedTo>& routed,
+             const std::optional<MatchedRoute>& routed,
              std::optional<Duration> remaining, Context& context);
   Outcome<Call> BuildCall(const HttpRequest& request,
                           const CallerHeaders& headers, bool routed,
                           std::optional<Duration> remaining, Context& context);
   Outcome<Call> BuildNested(Call call, const CallerHeaders& headers,
                             bool routed, Context& context);
-  void RefuseUnbuilt(const Waiter& waiter, Verdict verdict, Reason reason,
-                     const std::string& request_id, const std::string& detail,
-                     Context& context);
-  bool RefuseNestedRepeat(Call& call, Context& context);
-  void ReturnLoan(const Call& call);
-  void TakeKey(Call& call, const CallerHeaders& headers);
+  void RefuseUnregistered(const Waiter& waiter, Verdict verdict, Reason reason,
+                          const std::string& request_id,
+                          const std::string& detail, Context& context);
+  bool RefuseNestedRetry(Call& call, Context& context);
+  void ReturnGrant(const Call& call);
+  void AssignKey(Call& call, const CallerHeaders& headers);
   bool JoinInFlight(const Call& call, const Waiter& waiter);
-  // Its request was let in where it entered.
-  static bool PassesInside(const Call& call, const Context& context);
-  // If not, `refusal` says why.
-  bool IsLetIn(Call& call, Failure& refusal, Context& context);
+  // Returns whether a nested call skips admission because its request was
+  // admitted at its own entry node (DeploymentRules::admit_at_edge).
+  static bool SkipsAdmission(const Call& call, const Context& context);
+  // If it returns false, `refusal` says why.
+  bool TryAdmit(Call& call, Failure& refusal, Context& context);
   uint64_t Register(Call call);
   void StartRunning(Call& call, Context& context);
 
-  // entry_keys.cc: at most once for keyed requests.
+  // entry_keys.cc: at-most-once execution of keyed requests.
   void BeginKeyed(Call call, bool forwarded_here, Context& context);
   void BeginWithRecord(Call call, KeyRecord& record, Context& context);
   void BeginWithTicket(Call call, const Ticket& ticket, Context& context);
   void BeginClaim(Call call, KeyRecord& record, Context& context);
   void ForwardToHome(Call& call, const NodeRef& home, Context& context);
-  void SettleKey(const Call& call, const HttpResponse* response,
-                 const Failure& failure);
-
-  // entry_attempts.cc: tries and their results.
-  // False if there is no server to try, or a retry (then `last` is how the try
-  // before failed) cannot be paid for.
-  bool TryNext(Call& call, const std::optional<Reason>& last, Context& context);
+  void UpdateKeyRecord(const Call& call, const HttpResponse* response,
+                       const Failure& failure);
+
+  // entry_attempts.cc: attempts and their results.
+  // Returns false if the deadline has passed, no server can be chosen, or a
+  // retry is not allowed. For a retry, `last` is how the previous attempt
+  // failed.
+  bool StartNextAttempt(Call& call, const std::optional<Reason>& last,
+                        Context& context);
   void SendAttempt(Call& call, const ServerPlace& place, Context& context);
-  // For metrics: how old what is known of the chosen server is.
-  void CountChoice(const std::string& server_key, TimePoint now);
+  // Records the age of the chosen server's last load report in the metrics.
+  void RecordReportAge(const std::string& server_key, TimePoint now);
   Duration RemainingFor(const Call& call, TimePoint now) const;
   void OnAttemptAnswer(Call& call, const CallAnswer& answer, Context& context);
   void OnAttemptFailed(Call& call, Failure failure, Context& context);
   bool MayRetry(const Call& call, const Failure& failure,
                 const DeploymentRules& rules) const;
-  bool PayRetry(Call& call, Reason last, const ServerPlace& place,
-                Context& context);
-  bool PayFromFleetShare(Call& call, Context& context);
+  bool AuthorizeRetry(Call& call, Reason last, const ServerPlace& place,
+                      Context& context);
+  bool AuthorizeFromFleetShare(Call& call, Context& context);
   FleetRetryShare& FleetShareOf(const std::string& service,
                                 const DeploymentRules& rules);
   void CountCrash(Call& call, Failure& failure, Context& context);
-  void LearnLoad(const Call& call, const CallAnswer& answer, Context& context);
-  // What a nested call's service turns away is passed up its chain.
-  void TellParent(const Call& call, const Context& context);
+  void RecordLoad(const Call& call, const CallAnswer& answer, Context& context);
+  // Passes the shedding threshold that a nested call meets up to the hop that
+  // made it.
+  void PropagateThreshold(const Call& call, const Context& context);
   void SetAttempt(Call& call, const Attempt& attempt);
   void EndAttempt(Call& call, std::optional<Duration> latency, bool failed,
                   TimePoint now);
@@ -138,8 +144,8 @@
   void FinishWithResponse(Call& call, const HttpResponse& response,
                           Context& context);
   void FinishWithFailure(Call& call, Failure failure, Context& context);
-  // Tells the window of the request's class how it ended.
-  void EndPlace(Call& call, bool served, TimePoint now);
+  // Reports the end of a request to the admission window of its class.
+  void CompleteInWindow(Call& call, bool served, TimePoint now);
   void LogFailure(const Call& call, const Failure& failure, Context& context);
   void Remove(Call& call);
   void AnswerWaiter(const Waiter& waiter, const HttpResponse& response,
@@ -147,9 +153,10 @@
   void AnswerPeer(const Waiter& waiter, CallAnswer answer, Context& context);
   void AnswerWaiter(const Waiter& waiter, const Failure& failure,
                     const std::string& request_id, Context& context);
-  // Gives back what the parent hop lent; `failed` is what the backend server
-  // is told of a nested call that did not succeed.
-  void ReturnToParent(const Call& call, bool gave_up,
+  // Reports the end of a nested call to its parent hop and returns the retry
+  // credits that are left. `failed` is the verdict of a nested call that did
+  // not succeed; `gave_up` makes the parent's answer final.
+  void ReportToParent(const Call& call, bool gave_up,
                       std::optional<Verdict> failed, TimePoint now);
 
   Call* FindCall(uint64_t id);
@@ -157,8 +164,8 @@
 
   Parts parts_;
   ServerChoice choice_;
-  UsualTimes usual_times_;
-  RecentSet answered_;  // fingerprints that were answered lately
+  TypicalServiceTimes typical_service_times_;
+  RecentSet answered_;  // fingerprints of recently answered requests
   KeyRegistry keys_;
   Admission admission_;
   std::map<std::string, RetryBudget> retry_budgets_;     // by service
@@ -166,7 +173,8 @@
   std::map<std::string, Duration> retry_after_;          // by service and class
   std::map<uint64_t, Call> calls_;
   std::map<AttemptId, uint64_t> by_attempt_;
-  std::map<std::string, size_t> awaited_;  // attempts in flight, by peer
+  std::map<std::string, size_t>
+      in_flight_by_peer_;  // attempts in flight, by peer
   std::map<CallId, uint64_t> by_http_call_;
   std::map<std::string, uint64_t> joinable_;  // by request id
   std::multimap<uint64_t, uint64_t> by_parent_hop_;
--- a/src/libnode/entry/route_table.cc
+++ b/src/libnode/entry/route_table.cc
@@ -21,7 +21,7 @@
       [](const RouteTarget& target) { return target.weight > 0; });
 }
 
-bool Begins(std::string_view path, std::string_view prefix) {
+bool StartsWith(std::string_view path, std::string_view prefix) {
   return path.substr(0, prefix.size()) == prefix;
 }
 
@@ -38,8 +38,8 @@
   for (size_t i = 0; i < routes.size(); ++i) {
     by_host[HostKey(routes[i].host)].push_back(i);
   }
-  for (auto& [host, places] : by_host) {
-    std::stable_sort(places.begin(), places.end(), [&](size_t a, size_t b) {
+  for (auto& [host, indexes] : by_host) {
+    std::stable_sort(indexes.begin(), indexes.end(), [&](size_t a, size_t b) {
       return routes[a].prefix.size() > routes[b].prefix.size();
     });
   }
@@ -52,9 +52,9 @@
   const auto found = by_host_->find(HostKey(host));
   if (found == by_host_->end()) return nullptr;
   const std::string_view path = pvt::PathOf(target);
-  for (const size_t place : found->second) {
-    const Route& route = (*routes_)[place];
-    if (Begins(path, route.prefix)) return &route;
+  for (const size_t index : found->second) {
+    const Route& route = (*routes_)[index];
+    if (StartsWith(path, route.prefix)) return &route;
   }
   return nullptr;
 }
@@ -63,10 +63,10 @@
   uint64_t total = 0;
   for (const RouteTarget& target : route.targets) total += target.weight;
   std::uniform_int_distribution<uint64_t> draw(0, total - 1);
-  uint64_t at = route.targets.size() == 1 ? 0 : draw(random);
+  uint64_t offset = route.targets.size() == 1 ? 0 : draw(random);
   for (const RouteTarget& target : route.targets) {
-    if (at < target.weight) return target.service;
-    at -= target.weight;
+    if (offset < target.weight) return target.service;
+    offset -= target.weight;
   }
   return route.targets.back().service;
 }
--- a/src/libnode/entry/server_choice.cc
+++ b/src/libnode/entry/server_choice.cc
@@ -10,20 +10,22 @@
 namespace amaranth::pvt {
 namespace {
 
-// A load report older than this says nothing: queues empty in far less.
-constexpr Duration kReportLife = std::chrono::seconds(1);
-// A host that broke its link, or is not heard from, is avoided this long, then
-// tried by one call: as long as a refused connection costs that call only a
-// retry, this may be short.
-constexpr Duration kAvoidUnreachable = std::chrono::seconds(1);
-// ... and is a host like any other again if nobody called it for this long.
-constexpr Duration kForgetUnreachable = std::chrono::seconds(10);
-constexpr Duration kForgetAfter = std::chrono::minutes(2);
+// Older load reports are ignored: queues drain in far less time.
+constexpr Duration kReportLifetime = std::chrono::seconds(1);
+// A host that lost its link, or is unresponsive, is avoided for this long and
+// then probed by one call. This may be short because a refused connection costs
+// that call only a retry.
+constexpr Duration kUnreachableBackoff = std::chrono::seconds(1);
+// An unreachable host is used normally again if no call was sent to it for this
+// long after that.
+constexpr Duration kUnreachableRetention = std::chrono::seconds(10);
+constexpr Duration kServerRetention = std::chrono::minutes(2);
 constexpr double kLatencyWeight = 0.2;
 
-// A failing server is called where each of the others would be waited for so
-// many times longer: left out altogether, it would take from a service that is
-// short of slots what it still does, and all would be left out where all fail.
+// The expected wait at a failing server counts this many times, so it is called
+// only when the others are that much more loaded. Excluding it would take its
+// remaining capacity from an overloaded service, and would exclude all servers
+// when all fail.
 constexpr double kFailingPenalty = 5;
 
 double PenaltyOf(const ServerFitness& fitness) {
@@ -38,13 +40,13 @@
 
 ServerView ServerChoice::ViewOf(const ServerPlace& place,
                                 const EffectiveSettings& settings,
-                                const std::set<std::string>& tried,
+                                const std::set<std::string>& tried_servers,
                                 std::optional<uint32_t> level,
                                 TimePoint now) const {
   const std::string key = ServerKey(place.node, place.server);
   ServerView view{};
-  // Not place.local, which means this very host: half of a data centre's calls
-  // would stay with a slow server on the host that they came in by.
+  // By data centre, not by place.local, which means this host: half of a data
+  // centre's calls would stay with a slow server on their entry host.
   view.local = place.data_centre == data_centre_;
   view.suspect = place.suspect || IsUnreachable(place.node, now);
   view.weight = SlowStartWeight(place.first_seen, now, settings.slow_start);
@@ -53,40 +55,43 @@
     view.ejected = outliers->second.Ejected(key, now);
     view.weight *= outliers->second.Weight(key, now);
   }
-  view.excluded = tried.count(key) > 0;
+  view.excluded = tried_servers.count(key) > 0;
   view.penalty = PenaltyOf(place.fitness);
-  const auto found = seen_.find(key);
-  if (found == seen_.end()) return view;
-  const Seen& seen = found->second;
-  view.in_flight = seen.in_flight;
-  view.latency = seen.latency;
-  if (now - seen.reported <= kReportLife) {
-    view.in_flight = std::max(seen.in_flight, seen.report.in_flight);
-    view.limit = seen.report.limit;
-    view.queued = seen.report.queued;
-    if (seen.report.turn_us > 0) BringUpToDate(seen, now, view);
-    // A fresh report tells by itself how slow the server is.
+  const auto found = servers_.find(key);
+  if (found == servers_.end()) return view;
+  const ServerState& state = found->second;
+  view.in_flight = state.in_flight;
+  view.latency = state.latency;
+  if (now - state.reported_at <= kReportLifetime) {
+    view.in_flight = std::max(state.in_flight, state.report.in_flight);
+    view.limit = state.report.limit;
+    view.queued = state.report.queued;
+    if (state.report.turn_us > 0) ExtrapolateLoad(state, now, view);
+    // A recent report already shows how slow the server is.
     view.penalty = PenaltyOf({place.fitness.failing, 1});
   }
-  if (level && *level < ThresholdOf(seen, now)) view.excluded = true;
+  if (level && *level < ThresholdOf(state, now)) view.excluded = true;
   return view;
 }
 
-// A queue that was long when its server last answered keeps everybody away, and
-// as nobody is sent there no answer tells that it has drained: the server then
-// stands idle beside others with long queues until all come at once. So what it
-// has ended since is taken off, and what this node sent it since is added.
-void ServerChoice::BringUpToDate(const Seen& seen, TimePoint now,
-                                 ServerView& view) {
-  const LoadReport& report = seen.report;
-  const double ended = static_cast<double>((now - seen.reported).count()) /
-                       static_cast<double>(report.turn_us);
+// Updates a report that has aged: subtracts the calls that the server has
+// completed since, by its reported rate, and adds those that this node has
+// sent. Otherwise a server that reported a long queue gets no calls, so no
+// answer shows that the queue has drained. The server stays idle beside others
+// with long queues until all calls move to it at once.
+void ServerChoice::ExtrapolateLoad(const ServerState& state, TimePoint now,
+                                   ServerView& view) {
+  const LoadReport& report = state.report;
+  const double completed =
+      static_cast<double>((now - state.reported_at).count()) /
+      static_cast<double>(report.turn_us);
   const double reported = report.in_flight + report.queued;
   const double calls = std::max<double>(
-      std::max(0.0, reported - ended) + seen.sent_since, seen.in_flight);
-  const uint32_t there = static_cast<uint32_t>(calls);
-  view.in_flight = std::min(there, report.limit);
-  view.queued = there - view.in_flight;
+      std::max(0.0, reported - completed) + state.sent_since_report,
+      state.in_flight);
+  const uint32_t estimated = static_cast<uint32_t>(calls);
+  view.in_flight = std::min(estimated, report.limit);
+  view.queued = estimated - view.in_flight;
   view.latency = Duration(int64_t{report.turn_us} * report.limit);
 }
 
@@ -95,26 +100,26 @@
   uint64_t sum = 0;
   uint64_t known = 0;
   for (const ServerPlace& place : places) {
-    const auto found = seen_.find(ServerKey(place.node, place.server));
-    if (place.suspect || found == seen_.end()) continue;
+    const auto found = servers_.find(ServerKey(place.node, place.server));
+    if (place.suspect || found == servers_.end()) continue;
     sum += ThresholdOf(found->second, now);
     ++known;
   }
   return known == 0 ? 0 : static_cast<uint32_t>(sum / known);
 }
 
-uint32_t ServerChoice::ThresholdOf(const Seen& seen, TimePoint now) {
+uint32_t ServerChoice::ThresholdOf(const ServerState& state, TimePoint now) {
   return static_cast<uint32_t>(DownstreamThresholds::Faded(
-      seen.report.shed_threshold, seen.reported, now));
+      state.report.shed_threshold, state.reported_at, now));
 }
 
-uint32_t ServerChoice::Threshold(const std::vector<ServerPlace>& places,
-                                 TimePoint now) const {
+uint32_t ServerChoice::LowestThreshold(const std::vector<ServerPlace>& places,
+                                       TimePoint now) const {
   uint32_t lowest = kMaxSheddingLevel;
   for (const ServerPlace& place : places) {
     if (place.suspect) continue;
-    const auto found = seen_.find(ServerKey(place.node, place.server));
-    if (found == seen_.end()) return 0;
+    const auto found = servers_.find(ServerKey(place.node, place.server));
+    if (found == servers_.end()) return 0;
     lowest = std::min(lowest, ThresholdOf(found->second, now));
   }
   return places.empty() ? 0 : lowest;
@@ -122,14 +127,14 @@
 
 std::optional<ServerPlace> ServerChoice::Choose(
     const std::vector<ServerPlace>& places, const EffectiveSettings& settings,
-    const std::set<std::string>& tried, std::optional<uint32_t> level,
+    const std::set<std::string>& tried_servers, std::optional<uint32_t> level,
     TimePoint now, std::mt19937_64& random) {
   if (places.empty()) return std::nullopt;
   outliers_[places.front().service].SetMaxShare(settings.max_eject_share);
   std::vector<ServerView> views;
   views.reserve(places.size());
   for (const ServerPlace& place : places) {
-    views.push_back(ViewOf(place, settings, tried, level, now));
+    views.push_back(ViewOf(place, settings, tried_servers, level, now));
   }
   PickOptions options;
   options.spill_share = settings.spill_share;
@@ -140,28 +145,28 @@
 
 std::optional<Duration> ServerChoice::ReportAge(const std::string& server_key,
                                                 TimePoint now) const {
-  const auto found = seen_.find(server_key);
-  if (found == seen_.end() || found->second.reported == TimePoint{}) {
+  const auto found = servers_.find(server_key);
+  if (found == servers_.end() || found->second.reported_at == TimePoint{}) {
     return std::nullopt;
   }
-  return now - found->second.reported;
+  return now - found->second.reported_at;
 }
 
 void ServerChoice::OnSent(const std::string& server_key) {
-  Seen& seen = seen_[server_key];
-  ++seen.in_flight;
-  ++seen.sent_since;
+  ServerState& state = servers_[server_key];
+  ++state.in_flight;
+  ++state.sent_since_report;
 }
 
 void ServerChoice::OnEnded(const std::string& service,
                            const std::string& server_key,
                            std::optional<Duration> latency, bool failed,
                            TimePoint now) {
-  Seen& seen = seen_[server_key];
-  if (seen.in_flight > 0) --seen.in_flight;
-  seen.used = now;
+  ServerState& state = servers_[server_key];
+  if (state.in_flight > 0) --state.in_flight;
+  state.last_used = now;
   if (latency && !failed) {
-    seen.latency = MovingAverage(seen.latency, *latency, kLatencyWeight);
+    state.latency = MovingAverage(state.latency, *latency, kLatencyWeight);
   }
   if (latency || failed) {
     outliers_[service].OnResult(server_key, latency.value_or(Duration(0)),
@@ -171,20 +176,20 @@
 
 void ServerChoice::OnReport(const std::string& server_key,
                             const LoadReport& report, TimePoint now) {
-  Seen& seen = seen_[server_key];
-  seen.report = report;
-  seen.sent_since = 0;
-  seen.reported = now;
-  seen.used = now;
+  ServerState& state = servers_[server_key];
+  state.report = report;
+  state.sent_since_report = 0;
+  state.reported_at = now;
+  state.last_used = now;
 }
 
 void ServerChoice::OnUnreachable(const std::string& node, TimePoint now) {
-  unreachable_[node] = now + kAvoidUnreachable;
+  unreachable_[node] = now + kUnreachableBackoff;
 }
 
-void ServerChoice::OnTried(const std::string& node, TimePoint now) {
+void ServerChoice::OnCalled(const std::string& node, TimePoint now) {
   const auto found = unreachable_.find(node);
-  if (found != unreachable_.end()) found->second = now + kAvoidUnreachable;
+  if (found != unreachable_.end()) found->second = now + kUnreachableBackoff;
 }
 
 bool ServerChoice::IsUnreachable(const std::string& node, TimePoint now) const {
@@ -192,26 +197,27 @@
   return found != unreachable_.end() && now < found->second;
 }
 
-bool ServerChoice::HasRoom(const std::string& server_key, TimePoint now) const {
-  const auto found = seen_.find(server_key);
-  if (found == seen_.end()) return false;
-  const Seen& seen = found->second;
-  const LoadReport& report = seen.report;
-  return now - seen.reported <= kReportLife && report.queued == 0 &&
+bool ServerChoice::HasCapacity(const std::string& server_key,
+                               TimePoint now) const {
+  const auto found = servers_.find(server_key);
+  if (found == servers_.end()) return false;
+  const ServerState& state = found->second;
+  const LoadReport& report = state.report;
+  return now - state.reported_at <= kReportLifetime && report.queued == 0 &&
          report.shed_threshold == 0 &&
-         std::max(seen.in_flight, report.in_flight) < report.limit;
+         std::max(state.in_flight, report.in_flight) < report.limit;
 }
 
 void ServerChoice::Expire(TimePoint now) {
   for (auto it = unreachable_.begin(); it != unreachable_.end();) {
-    const bool old = it->second + kForgetUnreachable <= now;
+    const bool old = it->second + kUnreachableRetention <= now;
     it = old ? unreachable_.erase(it) : std::next(it);
   }
-  for (auto it = seen_.begin(); it != seen_.end();) {
+  for (auto it = servers_.begin(); it != servers_.end();) {
     const bool idle = it->second.in_flight == 0;
-    if (idle && now - it->second.used > kForgetAfter) {
+    if (idle && now - it->second.last_used > kServerRetention) {
       for (auto& [service, detector] : outliers_) detector.Forget(it->first);
-      it = seen_.erase(it);
+      it = servers_.erase(it);
     } else {
       ++it;
     }
@@ -225,8 +231,8 @@
 }
 
 uint32_t ServerChoice::InFlight(const std::string& server_key) const {
-  const auto found = seen_.find(server_key);
-  return found == seen_.end() ? 0 : found->second.in_flight;
+  const auto found = servers_.find(server_key);
+  return found == servers_.end() ? 0 : found->second.in_flight;
 }
 
 }  // namespace amaranth::pvt
--- a/src/libnode/entry/server_choice.h
+++ b/src/libnode/entry/server_choice.h
@@ -1,10 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_ENTRY_SERVER_CHOICE_H_
 #define AMARANTHROUTE_LIBNODE_ENTRY_SERVER_CHOICE_H_
 
-// What this entry node knows of other hosts' backend servers from its own
-// calls and from the nodes beside them, and the choice among them. Health and
-// load endpoints play no part: they lag and mislead; an answer's own latency
-// and load report do not.
+// Chooses backend servers by what this entry node knows of them from its own
+// calls and from their serving nodes. Health and load endpoints are not used:
+// they lag and can mislead, which the latency and load report of an answer do
+// not.
 
 #include <map>
 #include <optional>
@@ -22,7 +22,8 @@
 
 namespace amaranth::pvt {
 
-// Name of a backend server in the fleet: two hosts may use the same name.
+// Returns a name of a backend server that is unique in the fleet: two hosts may
+// use the same server name.
 std::string ServerKey(const std::string& node, const std::string& server);
 
 class ServerChoice {
@@ -34,38 +35,43 @@
   // servers known to shed that level now.
   std::optional<ServerPlace> Choose(const std::vector<ServerPlace>& places,
                                     const EffectiveSettings& settings,
-                                    const std::set<std::string>& tried,
+                                    const std::set<std::string>& tried_servers,
                                     std::optional<uint32_t> level,
                                     TimePoint now, std::mt19937_64& random);
 
-  // The lowest level that any of `places` lets in, as far as known.
-  uint32_t Threshold(const std::vector<ServerPlace>& places,
-                     TimePoint now) const;
+  // Returns the lowest shedding threshold of those `places` that are not
+  // suspect; 0 if one of these is unknown.
+  uint32_t LowestThreshold(const std::vector<ServerPlace>& places,
+                           TimePoint now) const;
 
-  // The mean of their thresholds: what a call meets where a service is used as
-  // a whole. The least of them is that of whichever has just been idle.
+  // Returns the mean of the known shedding thresholds, which is what a call
+  // meets where all servers of a service are used. The lowest threshold is that
+  // of a server that has just been idle.
   uint32_t MeanThreshold(const std::vector<ServerPlace>& places,
                          TimePoint now) const;
 
   void OnSent(const std::string& server_key);
-  // Ends what OnSent began. `failed`: broke or timed out, not refused.
+  // Ends an attempt that OnSent began. `failed`: a connection failure, a
+  // timeout or a server error; a refusal is not a failure.
   void OnEnded(const std::string& service, const std::string& server_key,
                std::optional<Duration> latency, bool failed, TimePoint now);
   void OnReport(const std::string& server_key, const LoadReport& report,
                 TimePoint now);
-  // A link to the node broke or could not be made. Gossip takes a second or
-  // more to find a dead host; until then every other call would run into it.
+  // Handles a link to the node that broke, could not be opened, or is
+  // unresponsive. Gossip takes a second or more to detect a dead host; until
+  // then calls would still be sent to it.
   void OnUnreachable(const std::string& node, TimePoint now);
-  // A call was sent there: if the node could not be reached before, the others
-  // wait for what becomes of this one.
-  void OnTried(const std::string& node, TimePoint now);
-  void OnReached(const std::string& node) { unreachable_.erase(node); }
-  // How old the server's last report is; nothing if there is none.
+  // Handles a call sent to the node. If the node was unreachable, other calls
+  // avoid it again until the outcome of this one is known.
+  void OnCalled(const std::string& node, TimePoint now);
+  void OnReachable(const std::string& node) { unreachable_.erase(node); }
+  // Returns the age of the server's last load report, if there is one.
   std::optional<Duration> ReportAge(const std::string& server_key,
                                     TimePoint now) const;
-  // Whether a fresh report says that the server has a free slot and no queue.
-  bool HasRoom(const std::string& server_key, TimePoint now) const;
-  // Forgets servers that nobody has used or reported for a while.
+  // Returns whether a recent report shows a free slot, no queue and no
+  // shedding.
+  bool HasCapacity(const std::string& server_key, TimePoint now) const;
+  // Drops the state of servers that were not used for a while.
   void Expire(TimePoint now);
 
   bool Ejected(const std::string& service, const std::string& server_key,
@@ -73,26 +79,28 @@
   uint32_t InFlight(const std::string& server_key) const;
 
  private:
-  struct Seen {
-    uint32_t in_flight = 0;  // this node's own
-    Duration latency{0};     // moving mean
+  struct ServerState {
+    uint32_t in_flight = 0;  // attempts of this node
+    Duration latency{0};     // exponential moving average
     LoadReport report;
-    uint32_t sent_since = 0;  // calls of this node since the report
-    TimePoint reported{};
-    TimePoint used{};
+    uint32_t sent_since_report =
+        0;  // calls that this node sent since the report
+    TimePoint reported_at{};
+    TimePoint last_used{};
   };
 
-  static uint32_t ThresholdOf(const Seen& seen, TimePoint now);
-  static void BringUpToDate(const Seen& seen, TimePoint now, ServerView& view);
+  static uint32_t ThresholdOf(const ServerState& state, TimePoint now);
+  static void ExtrapolateLoad(const ServerState& state, TimePoint now,
+                              ServerView& view);
   ServerView ViewOf(const ServerPlace& place, const EffectiveSettings& settings,
-                    const std::set<std::string>& tried,
+                    const std::set<std::string>& tried_servers,
                     std::optional<uint32_t> level, TimePoint now) const;
 
   bool IsUnreachable(const std::string& node, TimePoint now) const;
 
   std::string data_centre_;  // of this node
-  std::map<std::string, Seen> seen_;
-  std::map<std::string, TimePoint> unreachable_;     // nodes, until when
+  std::map<std::string, ServerState> servers_;
+  std::map<std::string, TimePoint> unreachable_;     // by node, until when
   std::map<std::string, OutlierDetector> outliers_;  // by service
 };
 
--- a/src/libnode/entry/server_choice_test.cc
+++ b/src/libnode/entry/server_choice_test.cc
@@ -19,7 +19,7 @@
   return place;
 }
 
-LoadReport Busy(uint32_t queued) {
+LoadReport FullReport(uint32_t queued) {
   LoadReport report;
   report.server = "s";
   report.in_flight = 15;
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-// Callers wait 100 ms at one server while the other stands idle. The idle one
-// had the longer queue when it last answered; since nobody sends to it, no
-// answer tells that the queue has drained meanwhile.
+// Guards against calls that wait 100 ms at one server while another is idle.
+// The idle one had the longer queue in its last answer; since no calls are sent
+// to it, no answer shows that the queue has drained.
 // NOLINTNEXTLINE(readability-identifier-naming)
 TEST_GROUP(ServerChoiceGroup){};
 
-TEST(ServerChoiceGroup, AQueueDrainsWhileNobodySendsThere) {
+TEST(ServerChoiceGroup, AgingReportAccountsForQueueDraining) {
   ServerChoice choice("here");
   const std::vector<ServerPlace> places = {PlaceAt("drained"), PlaceAt("busy")};
   EffectiveSettings settings;
@@ -45,8 +45,8 @@
   std::mt19937_64 random(1);
   const TimePoint start = FromMicros(1'000'000);
   const TimePoint later = start + std::chrono::milliseconds(400);
-  choice.OnReport(ServerKey("drained", "s"), Busy(200), start);
-  choice.OnReport(ServerKey("busy", "s"), Busy(100), later);
+  choice.OnReport(ServerKey("drained", "s"), FullReport(200), start);
+  choice.OnReport(ServerKey("busy", "s"), FullReport(100), later);
   int drained = 0;
   for (int i = 0; i < 100; ++i) {
     const std::optional<ServerPlace> place =
@@ -56,7 +56,7 @@
   CHECK_EQUAL(100, drained);
 }
 
-TEST(ServerChoiceGroup, OwnCallsCountFromTheMomentTheyAreSent) {
+TEST(ServerChoiceGroup, CallsCountFromTheMomentTheyAreSent) {
   ServerChoice choice("here");
   const std::vector<ServerPlace> places = {PlaceAt("a"), PlaceAt("b")};
   EffectiveSettings settings;
@@ -64,7 +64,7 @@
   std::mt19937_64 random(1);
   const TimePoint now = FromMicros(1'000'000);
   for (const char* node : {"a", "b"}) {
-    choice.OnReport(ServerKey(node, "s"), Busy(0), now);
+    choice.OnReport(ServerKey(node, "s"), FullReport(0), now);
   }
   for (int i = 0; i < 50; ++i) choice.OnSent(ServerKey("a", "s"));
   const std::optional<ServerPlace> place =
@@ -79,54 +79,54 @@
   std::vector<ServerPlace> places{PlaceAt("a"), PlaceAt("b")};
   std::mt19937_64 random{4};
 
-  // Of a hundred calls, how many go to `node`.
-  int SentTo(const std::string& node, int ms) {
+  // Returns how many of a hundred calls go to `node`.
+  int CallsSentTo(const std::string& node, int ms) {
     const TimePoint now(std::chrono::milliseconds{ms});
     int sent = 0;
     for (int i = 0; i < 100; ++i) {
       const std::optional<ServerPlace> place =
           choice.Choose(places, settings, {}, std::nullopt, now, random);
-      choice.OnTried(place->node, now);
+      choice.OnCalled(place->node, now);
       if (place->node == node) ++sent;
     }
     return sent;
   }
 
-  void LoseAt(const std::string& node, int ms) {
+  void MarkUnreachable(const std::string& node, int ms) {
     choice.OnUnreachable(node, TimePoint(std::chrono::milliseconds(ms)));
   }
 };
 
-// Callers see calls hang in one second of every two while a data centre is cut
-// off without resets: a host that was avoided for a second is tried by all
-// calls at once, and each waits for the connection that never comes. One call
-// tries; the others go on elsewhere until it has been answered.
-TEST(UnreachableHosts, OneCallTriesAHostThatCouldNotBeReached) {
-  LoseAt("a", 0);
-  CHECK_EQUAL(0, SentTo("a", 500));
-  CHECK_EQUAL(1, SentTo("a", 1100));
-  CHECK_EQUAL(0, SentTo("a", 1900));
-  CHECK_EQUAL(1, SentTo("a", 2200));
-  choice.OnReached("a");
-  CHECK(SentTo("a", 2300) > 20);
+// Guards against calls that hang every other second while a data centre is
+// partitioned and connections to it are not reset. If all calls used a host
+// again after a second of avoidance, each would wait for a connection that is
+// never made. One call probes it; the others avoid it until that is answered.
+TEST(UnreachableHosts, OneCallProbesAnUnreachableHost) {
+  MarkUnreachable("a", 0);
+  CHECK_EQUAL(0, CallsSentTo("a", 500));
+  CHECK_EQUAL(1, CallsSentTo("a", 1100));
+  CHECK_EQUAL(0, CallsSentTo("a", 1900));
+  CHECK_EQUAL(1, CallsSentTo("a", 2200));
+  choice.OnReachable("a");
+  CHECK(CallsSentTo("a", 2300) > 20);
 }
 
-TEST(UnreachableHosts, TheOnlyHostIsUsedAlsoInDoubt) {
+TEST(UnreachableHosts, OnlyHostIsUsedEvenIfUnreachable) {
   places = {PlaceAt("a")};
-  LoseAt("a", 0);
-  CHECK_EQUAL(100, SentTo("a", 100));
+  MarkUnreachable("a", 0);
+  CHECK_EQUAL(100, CallsSentTo("a", 100));
 }
 
 // NOLINTNEXTLINE(readability-identifier-naming)
-TEST_GROUP(JudgedServers) {
+TEST_GROUP(ServerFitnessPenalty) {
   ServerChoice choice{"here"};
   EffectiveSettings settings;
   std::vector<ServerPlace> places;
   std::mt19937_64 random{4};
 
-  // Of a hundred calls, how many go to servers that `bad` holds for.
+  // Returns how many of a hundred calls go to servers for which `bad` is true.
   template <typename Predicate>
-  int SentTo(Predicate bad) {
+  int CallsSentTo(Predicate bad) {
     int sent = 0;
     for (int i = 0; i < 100; ++i) {
       const std::optional<ServerPlace> place = choice.Choose(
@@ -144,31 +144,34 @@
   }
 };
 
-// Guards against failures of a server that this node has hardly called.
-TEST(JudgedServers, FailingOnesGetFewCallsWhileOthersAreFree) {
+// Guards against sending a full share of calls to a failing server that this
+// node has hardly called.
+TEST(ServerFitnessPenalty, FailingServersGetFewCallsWhileOthersAreFree) {
   AddServers(8, {});
   AddServers(2, {true, 1});
-  CHECK(SentTo([](const ServerFitness& f) { return f.failing; }) < 10);
+  CHECK(CallsSentTo([](const ServerFitness& f) { return f.failing; }) < 10);
 }
 
-// Guards against judges that are wrong, or blame their servers for what lies
-// below: with most of a service left out, the rest would carry all.
-TEST(JudgedServers, FailingOnesAreCalledWhenTheOthersAreFull) {
+// Guards against fitness reports that are wrong, or count downstream failures
+// against the server. If most servers of a service were excluded, the rest
+// would be overloaded.
+TEST(ServerFitnessPenalty, FailingServersAreCalledWhenOthersAreFull) {
   AddServers(2, {});
   AddServers(8, {true, 1});
   for (int i = 0; i < 2; ++i) {
-    choice.OnReport(ServerKey(places[i].node, "s"), Busy(200),
+    choice.OnReport(ServerKey(places[i].node, "s"), FullReport(200),
                     FromMicros(60'000'000));
   }
-  CHECK(SentTo([](const ServerFitness& f) { return f.failing; }) > 90);
+  CHECK(CallsSentTo([](const ServerFitness& f) { return f.failing; }) > 90);
 }
 
-// Guards against the full share of calls for a server at a fifth of its speed
-// that this node has not called lately.
-TEST(JudgedServers, SlowOnesGetFewCalls) {
+// Guards against sending a full share of calls to a server that runs at a fifth
+// of its speed and that this node has not called recently.
+TEST(ServerFitnessPenalty, SlowServersGetFewCalls) {
   AddServers(8, {});
   AddServers(2, {false, 5});
-  CHECK(SentTo([](const ServerFitness& f) { return f.slowdown > 1; }) < 10);
+  CHECK(CallsSentTo([](const ServerFitness& f) { return f.slowdown > 1; }) <
+        10);
 }
 
 }  // namespace amaranth::pvt
--- a/src/libnode/entry/usual_times.h
+++ b/src/libnode/entry/usual_times.h
@@ -1,9 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_ENTRY_USUAL_TIMES_H_
 #define AMARANTHROUTE_LIBNODE_ENTRY_USUAL_TIMES_H_
 
-// What calls of each kind take in the servers of each service, as answers told
-// this entry node. It is sent with every call, so that the node beside a server
-// can tell whether its server is slower than its peers.
+// Keeps the typical service time of each kind of call (service, class and
+// depth) from the answers that this entry node has received. It is sent with
+// every call, so that the serving node can tell whether its server is slower
+// than other servers of the service.
 
 #include <cstdint>
 #include <map>
@@ -14,17 +15,17 @@
 
 namespace amaranth::pvt {
 
-class UsualTimes {
+class TypicalServiceTimes {
  public:
-  void Learn(const CallContext& call, Duration own_time) {
+  void Record(const CallContext& call, Duration service_time) {
     ByClass& of_service = times_[call.service];
     const bool known = of_service.count(call.request_class) > 0;
-    // Callers choose class names: the table must not grow with them.
+    // Callers choose class names: the table must not grow without bound.
     if (!known && of_service.size() >= kMaxClasses) return;
-    of_service[call.request_class][call.depth].Add(own_time);
+    of_service[call.request_class][call.depth].Add(service_time);
   }
 
-  // 0 if no call of this kind has been answered.
+  // Returns 0 if no call of this kind has been answered.
   Duration Of(const CallContext& call) const {
     const auto service = times_.find(call.service);
     if (service == times_.end()) return Duration(0);
--- a/src/libnode/shared/caller_headers.cc
+++ b/src/libnode/shared/caller_headers.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int64_t kMaxDeadlineMs = 3'600'000;
-constexpr std::string_view kTokenPrefix = "c1";
+constexpr std::string_view kContextTokenPrefix = "c1";
 constexpr std::string_view kTicketPrefix = "t1";
 
 Outcome<std::string> ReadText(const HttpRequest& request,
@@ -79,7 +79,7 @@
 }
 
 Outcome<CallerHeaders> ParseCallerHeaders(
-    const HttpRequest& request, const std::optional<RoutedTo>& routed) {
+    const HttpRequest& request, const std::optional<MatchedRoute>& routed) {
   struct Field {
     std::string_view header;
     std::string CallerHeaders::*member;
@@ -116,13 +116,13 @@
 }
 
 std::string FormatContextToken(const ContextToken& token) {
-  return std::string(kTokenPrefix) + "." + ToHex(token.hop) + "." +
+  return std::string(kContextTokenPrefix) + "." + ToHex(token.hop) + "." +
          ToHex(token.nonce);
 }
 
 std::optional<ContextToken> ParseContextToken(std::string_view text) {
   const std::vector<std::string_view> parts = Split(text, '.');
-  if (parts.size() != 3 || parts[0] != kTokenPrefix) return std::nullopt;
+  if (parts.size() != 3 || parts[0] != kContextTokenPrefix) return std::nullopt;
   const std::optional<uint64_t> hop = ParseNumber<uint64_t>(parts[1], 16);
   const std::optional<uint64_t> nonce = ParseNumber<uint64_t>(parts[2], 16);
   if (!hop || !nonce) return std::nullopt;
--- a/src/libnode/shared/caller_headers.h
+++ b/src/libnode/shared/caller_headers.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_CALLER_HEADERS_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_CALLER_HEADERS_H_
 
-// The callers' HTTP interface: header names, checked parsing, and the context
-// that a backend server hands back with its nested calls.
+// The HTTP interface of callers: header names, their validation, and the
+// context that a backend server returns with its nested calls.
 
 #include <optional>
 #include <string>
@@ -24,9 +24,9 @@
 inline constexpr std::string_view kVerdictHeader = "X-Amaranth-Verdict";
 inline constexpr std::string_view kFinalHeader = "X-Amaranth-Final";
 inline constexpr std::string_view kTicketHeader = "X-Amaranth-Ticket";
-// A backend server's own word that it refused a request without running it.
-// Not the verdict header: a server that copies a nested answer's headers into
-// its own answer would otherwise deny having run.
+// Set by a backend server that refused a request without running it. This is
+// not the verdict header, because a server that copies the headers of a nested
+// answer into its own answer would then claim not to have run.
 inline constexpr std::string_view kRefusedHeader = "X-Amaranth-Refused";
 inline constexpr std::string_view kIdempotencyKeyHeader = "Idempotency-Key";
 
@@ -34,8 +34,8 @@
 inline constexpr std::string_view kAnnouncePath = "/amaranth/v1/announce";
 inline constexpr std::string_view kLeavePath = "/amaranth/v1/leave";
 
-// Longest accepted value of any of these headers, in bytes. Names and keys end
-// up in tables and logs of every node, so they are kept short.
+// Limits the length of the values of these headers, in bytes. Names and keys
+// are kept in the tables and logs of every node, so they must be short.
 inline constexpr size_t kMaxHeaderValue = 200;
 
 struct CallerHeaders {
@@ -43,33 +43,34 @@
   std::string request_class = "default";
   std::string tenant = "default";
   std::string caller;
-  std::string request_id;  // empty: the caller gave none
+  std::string request_id;  // empty: not sent by the caller
   std::string idempotency_key;
   std::string context_token;
   std::optional<Duration> deadline;
 };
 
-// Whether the method alone says that a request changes nothing.
+// Returns whether requests of this method are read-only.
 bool IsReadMethod(std::string_view method);
 
-// Printable ASCII without spaces and quotes: safe in logs, JSON and labels.
+// Returns whether the text is printable ASCII without spaces, double quotes and
+// backslashes, and so is safe in logs, JSON and metric labels.
 bool IsCleanText(std::string_view text);
 
-// Service and class of a request that names no service itself.
-struct RoutedTo {
+// Service and class that a route gives to a request without a service header.
+struct MatchedRoute {
   std::string service;
   std::string request_class;
 };
 
-// Reads and checks the headers; the Error's message is fit for the caller.
-// With `routed`, service and class are taken from there, whatever the headers
-// say.
+// Parses and validates the headers. The message of an error may be shown to the
+// caller. With `routed`, service and class are taken from it, not from the
+// headers.
 Outcome<CallerHeaders> ParseCallerHeaders(
     const HttpRequest& request,
-    const std::optional<RoutedTo>& routed = std::nullopt);
+    const std::optional<MatchedRoute>& routed = std::nullopt);
 
-// Identifies a hop in flight to its own node. The nonce keeps a backend server
-// (or a caller who guesses) from naming a hop that is not its own.
+// Identifies a hop in flight at its serving node. The nonce keeps a backend
+// server, or a caller that guesses, from naming a hop of another one.
 struct ContextToken {
   uint64_t hop = 0;
   uint64_t nonce = 0;
@@ -77,7 +78,8 @@
 std::string FormatContextToken(const ContextToken& token);
 std::optional<ContextToken> ParseContextToken(std::string_view text);
 
-// A ticket names the node that alone may dispatch the request it is used for.
+// Names the only node that may dispatch the request for which the ticket is
+// used.
 struct Ticket {
   std::string home;
   uint64_t incarnation = 0;
--- a/src/libnode/shared/credit_ledger_test.cc
+++ b/src/libnode/shared/credit_ledger_test.cc
@@ -11,22 +11,22 @@
 
 TEST(CreditLedger, KeepsOneOfSeveralForTheRetryNextToTheFailure) {
   CreditLedger ledger(3);
-  CHECK_EQUAL(2, ledger.LendToAttempt());
+  CHECK_EQUAL(2, ledger.GrantToAttempt());
   CHECK_EQUAL(1, ledger.available());
 }
 
-TEST(CreditLedger, LendsItsLastCreditSoThatDeepHopsHaveOne) {
+TEST(CreditLedger, GrantsItsLastCreditSoThatDeepHopsHaveOne) {
   CreditLedger ledger(1);
-  CHECK_EQUAL(1, ledger.LendToAttempt());
+  CHECK_EQUAL(1, ledger.GrantToAttempt());
   CHECK_FALSE(ledger.Spend());
 }
 
-// A peer that returns more than it was lent (a fault, or hostile) would
-// otherwise make retries out of nothing and break the bound.
-TEST(CreditLedger, TakesBackNoMoreThanItLent) {
+// A faulty or hostile peer that returns more credits than it was granted would
+// otherwise create retries beyond the limit.
+TEST(CreditLedger, TakesBackNoMoreThanItGranted) {
   CreditLedger ledger(3);
-  const uint16_t lent = ledger.LendToAttempt();
-  ledger.Return(lent, 500);
+  const uint16_t granted = ledger.GrantToAttempt();
+  ledger.Return(granted, 500);
   CHECK_EQUAL(3, ledger.available());
 }
 
@@ -34,7 +34,7 @@
   const bool held = rc::check(
       "credits are conserved or burnt", [](const std::vector<uint8_t>& steps) {
         std::vector<CreditLedger> ledgers = {CreditLedger(5)};
-        std::vector<uint16_t> lent = {0};
+        std::vector<uint16_t> granted = {0};
         int spent = 0;
         for (const uint8_t step : steps) {
           CreditLedger& top = ledgers.back();
@@ -45,8 +45,8 @@
             case 1:
             case 2: {
               const uint16_t amount =
-                  step % 5 == 1 ? top.LendToAttempt() : top.LendToNested();
-              lent.push_back(amount);
+                  step % 5 == 1 ? top.GrantToAttempt() : top.GrantToNested();
+              granted.push_back(amount);
               ledgers.emplace_back(amount);
               break;
             }
@@ -55,8 +55,8 @@
               const uint16_t back = ledgers.back().available();
               const bool lost = step % 5 == 4;
               ledgers.pop_back();
-              if (!lost) ledgers.back().Return(lent.back(), back);
-              lent.pop_back();
+              if (!lost) ledgers.back().Return(granted.back(), back);
+              granted.pop_back();
             }
           }
           int sum = spent;
