--- a/src/libnode/shared/answers.cc
+++ b/src/libnode/shared/answers.cc
@@ -44,8 +44,8 @@
   body["request_id"] = request_id;
   body["node"] = node;
   body["detail"] = failure.detail;
-  // Details may quote a caller's bytes; replace what is not UTF-8 instead of
-  // throwing while answering.
+  // Details may quote bytes of a caller. Invalid UTF-8 is replaced because the
+  // strict handler would throw.
   HttpResponse response = JsonResponse(
       StatusFor(failure),
       body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
--- a/src/libnode/shared/answers.h
+++ b/src/libnode/shared/answers.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_ANSWERS_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_ANSWERS_H_
 
-// HTTP answers that the node itself gives.
+// HTTP answers that the node itself creates.
 
 #include <string>
 #include <string_view>
@@ -11,12 +11,13 @@
 
 namespace amaranth::pvt {
 
-// The JSON answer for a request given up on, with Retry-After where coming
-// back helps. Given at once, never held back.
+// Returns the JSON answer to a failed request, with a Retry-After header if
+// `failure` has a retry delay. The answer itself is sent at once, not delayed.
 HttpResponse FailureResponse(const Failure& failure,
                              std::string_view request_id,
                              std::string_view node);
 
+// Returns an answer with `json` as its body.
 HttpResponse JsonResponse(int status, std::string json);
 
 }  // namespace amaranth::pvt
--- a/src/libnode/shared/context.h
+++ b/src/libnode/shared/context.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_CONTEXT_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_CONTEXT_H_
 
-// What every module of the reducer is handed with an event.
+// The context that every module of the reducer gets with an event.
 
 #include <cstdint>
 #include <random>
@@ -16,7 +16,7 @@
 
 using Random = std::mt19937_64;
 
-// Passed down by reference for the length of one event; never stored.
+// Passed by reference while one event is handled; never stored.
 struct Context {
   const NodeIdentity& identity;
   TimePoint now;
@@ -24,8 +24,8 @@
   uint64_t& next_id;
   Effects& effects;
 
-  // Ids for attempts, dispatches, platform operations and calls of our own:
-  // one counter, so no two of them are ever mistaken for each other.
+  // Returns a new id for an attempt, dispatch, platform operation, call or the
+  // like of this node. One counter serves all of them, so no two ids are equal.
   uint64_t NextId() { return next_id++; }
 
   void Emit(Effect effect) { effects.push_back(std::move(effect)); }
--- a/src/libnode/shared/deadline_set.h
+++ b/src/libnode/shared/deadline_set.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_DEADLINE_SET_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_DEADLINE_SET_H_
 
-// Deadlines of many items, earliest first.
+// A set of ids ordered by deadline, earliest first.
 
 #include <cstdint>
 #include <set>
--- a/src/libnode/shared/durations.h
+++ b/src/libnode/shared/durations.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_DURATIONS_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_DURATIONS_H_
 
-// Arithmetic on durations that entry and serving nodes share.
+// Arithmetic on durations for the entry and serving roles.
 
 #include <algorithm>
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace amaranth::pvt {
 
-// An exponential moving average after `sample`, the weight of which is
-// `weight`; the first sample is the average (a mean of zero: none was seen).
+// Returns the exponential moving average `mean` after adding `sample` with
+// `weight`. A mean of zero stands for no sample: then returns `sample`.
 inline Duration MovingAverage(Duration mean, Duration sample, double weight) {
   if (mean == Duration::zero()) return sample;
   const double before = static_cast<double>(mean.count());
@@ -20,7 +20,7 @@
   return Duration(static_cast<int64_t>(before + weight * (newest - before)));
 }
 
-// As messages carry it: microseconds, clamped to their 32 bits.
+// Returns a duration in microseconds as messages carry it, clamped to 32 bits.
 inline uint32_t ToWireMicros(Duration time) {
   return static_cast<uint32_t>(std::clamp<int64_t>(
       time.count(), 0, std::numeric_limits<uint32_t>::max()));
--- a/src/libnode/shared/moving_median.h
+++ b/src/libnode/shared/moving_median.h
@@ -7,10 +7,10 @@
 
 namespace amaranth::pvt {
 
-// The median of a stream of durations, kept in two numbers. It begins as the
-// mean of the first samples; then each sample moves it a small step to its
-// side. A few servers that are many times slower than the rest, which would
-// raise a mean for good, leave it where it is.
+// Estimates the median of a stream of durations in constant memory. The
+// estimate starts as the mean of the first samples; each later sample moves it
+// a small step towards itself. Unlike a mean, it hardly changes when a few
+// servers are many times slower than the rest.
 class MovingMedian {
  public:
   void Add(Duration sample) {
@@ -23,7 +23,7 @@
     if (sample > median_) median_ += step;
     if (sample < median_) median_ -= step;
   }
-  // 0 if there was no sample.
+  // Returns 0 if there was no sample.
   Duration value() const { return median_; }
 
  private:
--- a/src/libnode/shared/moving_median_test.cc
+++ b/src/libnode/shared/moving_median_test.cc
@@ -10,10 +10,11 @@
   std::mt19937_64 random{1};
   MovingMedian median;
 
-  // Samples around 50 ms, of which `slow` are a second.
-  void Feed(int samples, double slow) {
+  // Adds samples with a mean of 50 ms, of which a share of `slow_share` are one
+  // second.
+  void AddSamples(int samples, double slow_share) {
     std::exponential_distribution<double> time(1 / 50e3);
-    std::bernoulli_distribution is_slow(slow);
+    std::bernoulli_distribution is_slow(slow_share);
     for (int i = 0; i < samples; ++i) {
       const double micros = is_slow(random) ? 1e6 : time(random);
       median.Add(Duration(static_cast<int64_t>(micros)));
@@ -24,17 +25,18 @@
   }
 };
 
-// Guards against verdicts by a first sample that happened to be short.
-TEST(MovingMedianGroup, AnUnluckyFirstSampleIsSoonForgotten) {
+// Guards against an estimate that stays near a first sample that was too short.
+TEST(MovingMedianGroup, AnOutlyingFirstSampleIsCorrectedSoon) {
   median.Add(Duration(1000));
-  Feed(30, 0);
+  AddSamples(30, 0);
   CHECK(Millis() > 15);
   CHECK(Millis() < 80);
 }
 
-// Guards against slow servers that make each other look usual.
-TEST(MovingMedianGroup, AFewSlowServersLeaveItWhereItIs) {
-  Feed(1000, 0.15);
+// Guards against slow servers that raise the typical service time, so that none
+// of them is detected as slow.
+TEST(MovingMedianGroup, AFewSlowServersDoNotMoveIt) {
+  AddSamples(1000, 0.15);
   CHECK(Millis() > 20);
   CHECK(Millis() < 80);
 }
--- a/src/libnode/shared/outbox.h
+++ b/src/libnode/shared/outbox.h
@@ -1,9 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_OUTBOX_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_OUTBOX_H_
 
-// Messages to nodes, this one included. A message of the node to itself takes
-// no link: it is queued here and the reducer delivers it before the event
-// ends, so both roles see the same protocol whether or not they share a host.
+// Sends messages to nodes, including this one. A message of the node to itself
+// uses no link: it is queued here, and the reducer delivers it before the event
+// ends. So the entry and serving roles use the same protocol whether or not
+// they share a host.
 
 #include <deque>
 #include <functional>
@@ -34,7 +35,7 @@
     return message;
   }
 
-  // Told of each message that leaves on a link (see peer_links.h).
+  // Called for each message that is sent over a link (see peer_links.h).
   using OnSend =
       std::function<void(const std::string&, const Endpoint&, Context&)>;
   void SetOnSend(OnSend on_send) { on_send_ = std::move(on_send); }
--- a/src/libnode/shared/records.h
+++ b/src/libnode/shared/records.h
@@ -1,8 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_RECORDS_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_RECORDS_H_
 
-// What the node did and why, for `amaranthctl explain` and `events`: a bounded
-// ring, so that an overload cannot fill the memory with its own story.
+// Records the decisions of the node and their reasons, for `amaranthctl
+// explain` and `events`, in a ring buffer that limits memory use under
+// overload.
 
 #include <deque>
 #include <string>
@@ -37,7 +38,7 @@
     return found;
   }
 
-  // The newest `limit` records at or after `since`, oldest first.
+  // Returns the newest `limit` records at or after `since`, oldest first.
   std::vector<DecisionRecord> Since(TimePoint since, size_t limit) const {
     std::vector<DecisionRecord> found;
     for (const DecisionRecord& record : ring_) {
--- a/src/libnode/shared/stats.cc
+++ b/src/libnode/shared/stats.cc
@@ -9,14 +9,15 @@
 
 namespace bh = boost::histogram;
 
-// From 50 us to 60 s in steps of about 15 %: fine enough for percentiles,
-// small enough (100 counters) to keep one per tenant, class and outcome.
+// 100 buckets from 50 us to 60 s in steps of about 15 %: accurate enough for
+// percentiles, and small enough for one histogram per tenant, class and
+// outcome.
 constexpr int kBuckets = 100;
 constexpr double kLowestMicros = 50;
 constexpr double kHighestMicros = 60e6;
 
-// A caller can invent tenants; beyond this many series they share one, so that
-// the memory stays bounded.
+// Callers choose tenant names. Beyond this many series all new ones of an
+// outcome share one, so that memory use stays bounded.
 constexpr size_t kMaxSeries = 2000;
 
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
--- a/src/libnode/shared/stats.h
+++ b/src/libnode/shared/stats.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBNODE_SHARED_STATS_H_
 #define AMARANTHROUTE_LIBNODE_SHARED_STATS_H_
 
-// Counters, and latency histograms per tenant and class.
+// Counters, and latency histograms by tenant, class and outcome.
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace amaranth::pvt {
 
-// One histogram's figures, in microseconds.
+// Summary of one latency histogram; times are in microseconds.
 struct HistogramSummary {
   struct Bucket {
     int64_t le_us = 0;
@@ -29,7 +29,7 @@
   int64_t p90_us = 0;
   int64_t p99_us = 0;
   int64_t p999_us = 0;
-  std::vector<Bucket> buckets;  // only those with counts
+  std::vector<Bucket> buckets;  // only those that are not empty
 };
 
 class Stats {
@@ -39,13 +39,15 @@
   Stats(const Stats&) = delete;
   Stats& operator=(const Stats&) = delete;
 
-  // `counter` is a Prometheus name, `label` its one label pair or empty.
+  // Adds to a counter. `counter` is a Prometheus name, `label` its label pair
+  // or empty.
   void Count(std::string_view counter, std::string_view label = {},
              uint64_t amount = 1);
   uint64_t CountOf(const std::string& counter,
                    const std::string& label = {}) const;
 
-  // `outcome` is "ok" or a Reason's text.
+  // Adds a latency to a histogram. `outcome` is "ok", "server-error", the text
+  // of a Reason, or the name of another duration that the node observes.
   void Observe(const std::string& tenant, const std::string& request_class,
                std::string_view outcome, Duration latency);
 
