--- a/src/libnode/entry/entry_attempts.cc
+++ b/src/libnode/entry/entry_attempts.cc
@@ -268,8 +268,7 @@
       context);
   failure.reason = Reason::kQuarantined;
   failure.final = true;
-  failure.detail =
-      "two backend servers lost the connection while they ran this request";
+  failure.detail = "this request broke two backend servers in a row";
 }
 
 bool EntryRole::AuthorizeRetry(Call& call, Reason last,
--- a/src/libnode/entry/entry_begin.cc
+++ b/src/libnode/entry/entry_begin.cc
@@ -96,7 +96,7 @@
   if (route == nullptr) {
     const std::string id(FindHeader(event.request.headers, kRequestIdHeader));
     return RefuseUnregistered(waiter, Verdict::kNotRun, Reason::kNoRoute, id,
-                              "no route matches this host and path", context);
+                              "no route takes this host and path", context);
   }
   const MatchedRoute routed{DrawTarget(*route, context.random), route->name};
   Begin(waiter, event.request, routed, std::nullopt, context);
@@ -285,7 +285,7 @@
   failure.verdict = failed->second;
   failure.reason = Reason::kRetriesSpent;
   failure.final = true;
-  failure.detail = "this nested call has already failed";
+  failure.detail = "this nested call was already given up on";
   AnswerWaiter(call.waiters.front(), failure, call.context.request_id, context);
   return true;
 }
@@ -349,7 +349,7 @@
   if (admission_.TryEnterWindow(call, context.random)) return true;
   parts_.stats.Count("amaranth_window_full_total",
                      "class=\"" + call.call_class + "\"");
-  refusal.detail = "the admission window of its class is full";
+  refusal.detail = "as many of its class are under way as end in time";
   return false;
 }
 
--- a/src/libnode/entry/entry_keys.cc
+++ b/src/libnode/entry/entry_keys.cc
@@ -32,7 +32,7 @@
     return FinishWithFailure(
         registered,
         KeyFailure(Verdict::kMayHaveRun, Reason::kClaimedElsewhere,
-                   "the key was used before; its result is no longer stored"),
+                   "the key was used before; its result is forgotten"),
         context);
   }
   record = keys_.Create(call.key, call.context.fingerprint, context.now);
@@ -41,7 +41,7 @@
     return FinishWithFailure(
         registered,
         KeyFailure(Verdict::kMayHaveRun, Reason::kTooLarge,
-                   "this node holds as many idempotency keys as it can"),
+                   "this node remembers as many keys as it can"),
         context);
   }
   BeginClaim(std::move(call), *record, context);
@@ -81,7 +81,7 @@
       return AnswerWaiter(
           waiter,
           KeyFailure(Verdict::kRan, Reason::kClaimedElsewhere,
-                     "the request ran; its answer is no longer stored"),
+                     "the request ran; its answer is no longer at hand"),
           request_id, context);
     case KeyState::kOutcomeUnknown:
       return AnswerWaiter(waiter, record.failure, request_id, context);
@@ -114,7 +114,7 @@
     return FinishWithFailure(
         registered,
         KeyFailure(Verdict::kMayHaveRun, Reason::kBadRequest,
-                   "the ticket is too old, or this node did not issue it"),
+                   "the ticket is too old, or this node did not mint it"),
         context);
   }
   record->state = KeyState::kRunning;
@@ -169,7 +169,7 @@
     return FinishWithFailure(
         *call,
         KeyFailure(Verdict::kMayHaveRun, Reason::kClaimedElsewhere,
-                   "the key was used before; its result is no longer stored"),
+                   "the key was used before; its result is forgotten"),
         context);
   }
   ForwardToHome(*call, result.holder, context);
