--- a/src/include/amaranthroute/policy/admission_queue.h
+++ b/src/include/amaranthroute/policy/admission_queue.h
@@ -115,8 +115,8 @@
   /// time of `service` starts within `max_wait`, but at least `min_places`. A
   /// fixed capacity of 256 is a wait of only 56 ms with 110 slots and 24 ms of
   /// service. Where the wait controls admission (see
-  /// ShedderOptions::steer_by_wait), a smaller queue refuses calls of admitted
-  /// requests before the threshold rises enough.
+  /// ShedderOptions::threshold_from_wait), a smaller queue refuses calls of
+  /// admitted requests before the threshold rises enough.
   static size_t CapacityForWait(size_t min_places, int slots, Duration service,
                                 Duration max_wait = kMaxControlledWait);
   /// A third more than the wait at which the lowest group of levels is shed
@@ -150,7 +150,7 @@
   /// Returns the age of the oldest waiting call, zero if none. Excludes long
   /// work while it waits for a slot of its own share. Input of
   /// Shedder::OnQueueDelay.
-  Duration standing_delay(TimePoint now) const;
+  Duration oldest_wait(TimePoint now) const;
   /// Returns the next time at which DropExpired may have to drop a call; kNever
   /// if no call waits.
   TimePoint next_deadline() const;
--- a/src/include/amaranthroute/policy/admission_window.h
+++ b/src/include/amaranthroute/policy/admission_window.h
@@ -37,7 +37,7 @@
   /// Minimum wait, as a fraction of the latency target, for a late or failed
   /// request to count as overload. Admitting fewer requests does not shorten a
   /// long service time. Also the minimum fraction of the latency of recent
-  /// requests spent waiting for CanGiveWay().
+  /// requests spent waiting for CanShrink().
   double min_wait_fraction = 0.2;
   /// Factor on the window for one such request. A step takes effect only after
   /// the latency of a whole request; with smaller steps a surge of several
@@ -99,7 +99,7 @@
   /// Returns whether shrinking this window can reduce the load: requests are in
   /// flight, and recent ones spent a considerable part of their latency
   /// waiting.
-  bool CanGiveWay() const;
+  bool CanShrink() const;
   size_t in_flight() const { return in_flight_; }
   /// Returns the limit; 0 while there is none.
   double limit() const { return limited_ ? limit_ : 0; }
--- a/src/include/amaranthroute/policy/progress_watch.h
+++ b/src/include/amaranthroute/policy/progress_watch.h
@@ -45,7 +45,7 @@
   enum class Action {
     kNone,
     kProbe,  ///< send a LinkPing
-    kDoubt,  ///< send new calls elsewhere until data is received
+    kAvoid,  ///< send new calls elsewhere until data is received
     kDrop,   ///< close the link; calls on it may have run
   };
 
@@ -57,7 +57,7 @@
   void OnReceived(TimePoint now);
 
   /// Returns the action to take at `now`. `outstanding`: an answer is awaited
-  /// on this link. kProbe and kDoubt are returned once until data is received
+  /// on this link. kProbe and kAvoid are returned once until data is received
   /// or nothing is outstanding; kDrop on each call.
   Action Check(TimePoint now, bool outstanding);
   /// Returns when Check should be called next, which may be in the past; kNever
@@ -70,7 +70,7 @@
   ProgressWatchOptions options_;
   TimePoint waiting_since_ = kNever;  // first send or check since the last read
   TimePoint probed_at_ = kNever;
-  bool avoided_ = false;  // kDoubt was returned since probed_at_
+  bool avoided_ = false;  // kAvoid was returned since probed_at_
 };
 
 /// Minimum timeout of an attempt: a short pause of a fast server is no failure.
--- a/src/include/amaranthroute/policy/retry_budget.h
+++ b/src/include/amaranthroute/policy/retry_budget.h
@@ -31,7 +31,7 @@
   explicit RetryBudget(double ratio = 0.1, double min_per_second = 1.0);
 
   /// Records the first attempt of a call.
-  void OnFirstTry(TimePoint now);
+  void OnFirstAttempt(TimePoint now);
   /// Takes one retry from the budget; returns false if none is left.
   bool TryRetry(TimePoint now);
   /// Sets the ratio of retries to first attempts; negative values count as 0.
--- a/src/include/amaranthroute/policy/server_judge.h
+++ b/src/include/amaranthroute/policy/server_judge.h
@@ -34,7 +34,7 @@
   /// server is not slow.
   uint32_t slowdown = 1;
 
-  bool sound() const { return !failing && slowdown <= 1; }
+  bool healthy() const { return !failing && slowdown <= 1; }
   friend bool operator==(const ServerFitness& a, const ServerFitness& b) {
     return std::tie(a.failing, a.slowdown) == std::tie(b.failing, b.slowdown);
   }
--- a/src/include/amaranthroute/policy/shedder.h
+++ b/src/include/amaranthroute/policy/shedder.h
@@ -88,9 +88,9 @@
   /// not reveal their demand: the callers' nodes refuse requests below the
   /// threshold, and admitted requests generate no more calls than the capacity
   /// however long each call waits, so an existing backlog would never drain.
-  bool steer_by_wait = false;
-  /// With steer_by_wait: wait up to which everything is admitted. Below it the
-  /// callers' admission windows (AdmissionWindow) control the number of
+  bool threshold_from_wait = false;
+  /// With threshold_from_wait: wait up to which everything is admitted. Below
+  /// it the callers' admission windows (AdmissionWindow) control the number of
   /// requests in flight, without oscillation. A change of the threshold takes
   /// effect a second later, after the answers of three hops have propagated it
   /// upstream; a shorter queue is empty by then, and slots are idle until it
@@ -124,7 +124,7 @@
 
   /// Records an arriving call; to be called whether it is admitted or not.
   void OnArrival(uint32_t level, TimePoint now);
-  /// Records the start of a call. `delay` is AdmissionQueue::standing_delay
+  /// Records the start of a call. `delay` is AdmissionQueue::oldest_wait
   /// just before the start (0 if nothing waits). It is not the wait of the
   /// started call: with newest-first order and tiers that wait stays short in
   /// any overload, and nothing would be shed.
@@ -171,7 +171,7 @@
   bool was_overloaded_ = false;  // in the last window
   int idle_windows_ = 0;         // consecutive
   uint32_t threshold_ = 0;
-  double smoothed_wait_ = 0;  // with steer_by_wait, in microseconds
+  double smoothed_wait_ = 0;  // with threshold_from_wait, in microseconds
   std::array<TimePoint, kLevelGroups> last_group_arrival_{};
   bool started_ = false;
 };
@@ -203,7 +203,7 @@
   uint32_t ThresholdFor(const std::string& service, TimePoint now) const;
 
   /// Returns the decayed value at `now` of a threshold reported at `updated`.
-  static double Faded(double threshold, TimePoint updated, TimePoint now);
+  static double Decayed(double threshold, TimePoint updated, TimePoint now);
 
  private:
   struct Entry {
--- a/src/libnode/calls_test.cc
+++ b/src/libnode/calls_test.cc
@@ -17,7 +17,7 @@
 
 size_t RunsOf(const FakeFleet& fleet, const std::string& request_id) {
   size_t runs = 0;
-  for (const Effected& effect : fleet.effects()) {
+  for (const FakeServerRun& effect : fleet.runs()) {
     if (effect.request_id == request_id) ++runs;
   }
   return runs;
@@ -469,14 +469,14 @@
   deep.failing = true;
   fleet.AddServer("a1", deep);
   FakeServerOptions front = MakeServer("f1", "front", {"deep"});
-  front.own_retries = 100;
+  front.server_retries = 100;
   fleet.AddServer("a1", front);
   fleet.RunFor(kSettleTime);
   HttpRequest request = MakeRequest("POST", "front");
   request.headers.push_back({"X-Amaranth-Deadline-Ms", "20000"});
   AnswerTo("a1", std::move(request));
   size_t deep_runs = 0;
-  for (const Effected& effect : fleet.effects()) {
+  for (const FakeServerRun& effect : fleet.runs()) {
     if (effect.service == "deep") ++deep_runs;
   }
   CHECK(deep_runs >= 2);
--- a/src/libnode/entry/admission.cc
+++ b/src/libnode/entry/admission.cc
@@ -74,7 +74,7 @@
 Admission::ClassWindow& Admission::WindowToShrink(ClassWindow& own) {
   ClassWindow* lowest = &own;
   for (auto& [key, other] : windows_) {
-    if (other.tier < lowest->tier && other.window.CanGiveWay()) lowest = &other;
+    if (other.tier < lowest->tier && other.window.CanShrink()) lowest = &other;
   }
   return *lowest;
 }
--- a/src/libnode/entry/claim_coordinator.cc
+++ b/src/libnode/entry/claim_coordinator.cc
@@ -60,7 +60,7 @@
                                           const Context& context,
                                           const std::string& excluded) const {
   std::vector<std::string> delegates = RendezvousChoose(
-      membership_.AliveInDataCentre(), "claim-delegates", kDelegates);
+      membership_.UpInDataCentre(), "claim-delegates", kDelegates);
   delegates.erase(std::remove(delegates.begin(), delegates.end(), excluded),
                   delegates.end());
   // Alone, or partitioned from the delegates: this node claims by itself.
--- a/src/libnode/entry/entry_attempts.cc
+++ b/src/libnode/entry/entry_attempts.cc
@@ -311,7 +311,7 @@
   if (admission_.HasNestedCalls(call)) return false;
   if (call.ledger.available() == 0) return false;
   const DeploymentRules& rules = context.identity.rules;
-  const size_t nodes = parts_.membership.NodesKnown();
+  const size_t nodes = parts_.membership.KnownNodeCount();
   if (!FleetShareOf(call.context.service, rules).TryRetry(nodes, context.now)) {
     parts_.stats.Count("amaranth_retries_over_budget_total");
     return false;
@@ -360,7 +360,7 @@
                      context);
 }
 
-void EntryRole::OnPeerQuiet(const std::string& peer, Context& context) {
+void EntryRole::OnPeerUnresponsive(const std::string& peer, Context& context) {
   choice_.OnUnreachable(peer, context.now);
   context.Log(LogLevel::kInfo, "entry",
               "Node " + peer + " is unresponsive; new calls avoid it.");
--- a/src/libnode/entry/entry_begin.cc
+++ b/src/libnode/entry/entry_begin.cc
@@ -126,7 +126,7 @@
   }
   Call call = std::move(built.value());
   if (!context.identity.rules.ids_name_sendings) AssignKey(call, headers);
-  if (!parts_.membership.ServiceKnown(headers.service)) {
+  if (!parts_.membership.IsServiceKnown(headers.service)) {
     ReturnGrant(call);
     // This node knows no server of the service, but an earlier request with the
     // same key may have come to a node that did.
@@ -280,7 +280,7 @@
     call.ledger = CreditLedger(call.granted_by_parent);
     return false;
   }
-  hop->nested_gave_up = true;
+  hop->nested_retries_exhausted = true;
   Failure failure;
   failure.verdict = failed->second;
   failure.reason = Reason::kRetriesSpent;
@@ -370,7 +370,7 @@
     PropagateThreshold(call, context);
     return FinishWithFailure(call, std::move(refusal), context);
   }
-  retry_budgets_[call.context.service].OnFirstTry(context.now);
+  retry_budgets_[call.context.service].OnFirstAttempt(context.now);
   if (call.is_root && context.identity.rules.fleet_retry_slack > 0) {
     FleetShareOf(call.context.service, context.identity.rules)
         .OnRequest(context.now);
--- a/src/libnode/entry/entry_finish.cc
+++ b/src/libnode/entry/entry_finish.cc
@@ -143,10 +143,10 @@
   if (hop == nullptr) return;
   hop->EndNested(now);
   hop->ledger.Return(call.granted_by_parent, call.ledger.available());
-  hop->nested_waited += call.waited;
+  hop->nested_wait_time += call.waited;
   if (!failed) return;
   hop->failed_nested[call.context.fingerprint] = *failed;
-  if (gave_up) hop->nested_gave_up = true;
+  if (gave_up) hop->nested_retries_exhausted = true;
 }
 
 void EntryRole::Remove(Call& call) {
--- a/src/libnode/entry/entry_role.h
+++ b/src/libnode/entry/entry_role.h
@@ -19,7 +19,7 @@
 #include "libnode/entry/claim_coordinator.h"
 #include "libnode/entry/key_registry.h"
 #include "libnode/entry/server_choice.h"
-#include "libnode/entry/usual_times.h"
+#include "libnode/entry/typical_service_times.h"
 #include "libnode/membership/membership.h"
 #include "libnode/serving/serving_role.h"
 #include "libnode/settings/settings_cache.h"
@@ -57,8 +57,8 @@
                     Context& context);
   // Handles an unresponsive peer: an answer is awaited, but nothing arrives.
   // New calls avoid it.
-  void OnPeerQuiet(const std::string& peer, Context& context);
-  void OnPeerHeard(const std::string& peer) { choice_.OnReachable(peer); }
+  void OnPeerUnresponsive(const std::string& peer, Context& context);
+  void OnPeerResponded(const std::string& peer) { choice_.OnReachable(peer); }
   // Handles a lost link: attempts in flight at the peer may have run.
   void OnPeerLost(const std::string& peer, Context& context);
   // Handles a message that is proved never to have been sent.
@@ -70,7 +70,7 @@
   TimePoint next_timer() const;
 
   // Returns whether an answer of `peer` is awaited.
-  bool Awaits(const std::string& peer) const {
+  bool AwaitsAnswerFrom(const std::string& peer) const {
     return in_flight_by_peer_.count(peer) > 0;
   }
   size_t calls() const { return calls_.size(); }
--- a/src/libnode/entry/server_choice.cc
+++ b/src/libnode/entry/server_choice.cc
@@ -109,7 +109,7 @@
 }
 
 uint32_t ServerChoice::ThresholdOf(const ServerState& state, TimePoint now) {
-  return static_cast<uint32_t>(DownstreamThresholds::Faded(
+  return static_cast<uint32_t>(DownstreamThresholds::Decayed(
       state.report.shed_threshold, state.reported_at, now));
 }
 
--- a/src/libnode/entry/usual_times.h
+++ b/src/libnode/entry/typical_service_times.h
@@ -1,5 +1,5 @@
-#ifndef AMARANTHROUTE_LIBNODE_ENTRY_USUAL_TIMES_H_
-#define AMARANTHROUTE_LIBNODE_ENTRY_USUAL_TIMES_H_
+#ifndef AMARANTHROUTE_LIBNODE_ENTRY_TYPICAL_SERVICE_TIMES_H_
+#define AMARANTHROUTE_LIBNODE_ENTRY_TYPICAL_SERVICE_TIMES_H_
 
 // Keeps the typical service time of each kind of call (service, class and
 // depth) from the answers that this entry node has received. It is sent with
@@ -45,4 +45,4 @@
 
 }  // namespace amaranth::pvt
 
-#endif  // AMARANTHROUTE_LIBNODE_ENTRY_USUAL_TIMES_H_
+#endif  // AMARANTHROUTE_LIBNODE_ENTRY_TYPICAL_SERVICE_TIMES_H_
--- a/src/libnode/fakes/fake_fleet.cc
+++ b/src/libnode/fakes/fake_fleet.cc
@@ -154,7 +154,7 @@
   return call;
 }
 
-void FakeFleet::Hangup(const std::string& node, uint64_t call) {
+void FakeFleet::HangUp(const std::string& node, uint64_t call) {
   FeedLater(node, kSameDataCentreLatency, CallerGone{call});
 }
 
@@ -165,7 +165,8 @@
   return answered ? &found->second : nullptr;
 }
 
-HttpResponse FakeFleet::Operator(const std::string& node, HttpRequest request) {
+HttpResponse FakeFleet::CallOperatorApi(const std::string& node,
+                                        HttpRequest request) {
   const uint64_t call = next_call_++;
   Feed(hosts_.at(node), OperatorRequest{call, std::move(request)});
   RunUntil([&] { return AnswerOf(call) != nullptr; }, std::chrono::seconds(10));
--- a/src/libnode/fakes/fake_fleet.h
+++ b/src/libnode/fakes/fake_fleet.h
@@ -32,9 +32,9 @@
   std::string slow_body;
   double slow_factor = 1;
   // Runs that start while more than this share of the slots is taken, their own
-  // included, take crowded_factor times as long.
-  double crowded_share = 1;
-  double crowded_factor = 1;
+  // included, take busy_factor times as long.
+  double busy_share = 1;
+  double busy_factor = 1;
   // Cold start: a run takes cold_factor times as long at the server's start,
   // decreasing linearly to one over warm_up.
   double cold_factor = 1;
@@ -53,12 +53,12 @@
   bool failing = false;      // answers 500
   double failing_share = 0;  // share of runs that are answered 500
   // Failed nested calls that the server sends again itself, in total per run.
-  int own_retries = 0;
+  int server_retries = 0;
   size_t backlog = 1000;
 };
 
 // One run of a request at a fake server.
-struct Effected {
+struct FakeServerRun {
   TimePoint at{};
   std::string server;
   std::string service;
@@ -92,14 +92,14 @@
   // Sends a caller's request. AnswerOf() returns its answer for the returned
   // id.
   uint64_t Call(const std::string& node, HttpRequest request);
-  void Hangup(const std::string& node, uint64_t call);
+  void HangUp(const std::string& node, uint64_t call);
   const FakeAnswer* AnswerOf(uint64_t call) const;
   std::function<void(uint64_t call, const FakeAnswer&)> on_answer;
   // Called when a server starts to run a request.
-  std::function<void(const Effected&)> on_run;
+  std::function<void(const FakeServerRun&)> on_run;
   // Saves memory in long tests: runs are reported through on_run only, and
   // answers are dropped once on_answer has been called.
-  void ForgetHistory() { keeps_history_ = false; }
+  void DiscardHistory() { keeps_history_ = false; }
 
   void RunFor(Duration length);
   // Runs until `done` returns true or `limit` has passed; returns whether
@@ -126,11 +126,11 @@
   TimePoint now() const { return now_; }
   Node& node(const std::string& name) { return *hosts_.at(name).node; }
   bool Exited(const std::string& name) const { return hosts_.at(name).exited; }
-  const std::vector<Effected>& effects() const { return runs_; }
+  const std::vector<FakeServerRun>& runs() const { return runs_; }
   std::mt19937_64& random() { return random_; }
   // Returns the number of platform reads and writes so far.
   uint64_t platform_operations() const { return platform_operations_; }
-  HttpResponse Operator(const std::string& node, HttpRequest request);
+  HttpResponse CallOperatorApi(const std::string& node, HttpRequest request);
 
  private:
   struct Running;
@@ -210,7 +210,7 @@
   std::vector<std::function<void()>> messages_held_by_cuts_;
   std::map<uint64_t, FakeAnswer> answers_;
   std::map<uint64_t, std::function<void(const HttpResponse&)>> nested_;
-  std::vector<Effected> runs_;
+  std::vector<FakeServerRun> runs_;
   PlatformMode platform_mode_ = PlatformMode::kUp;
   std::map<std::string, std::string> rows_;
   std::map<std::string, std::string> objects_;
--- a/src/libnode/fakes/fake_fleet_server.h
+++ b/src/libnode/fakes/fake_fleet_server.h
@@ -27,7 +27,7 @@
   uint64_t dispatch = 0;
   HttpRequest request;
   size_t run_index = 0;
-  int own_retries = 0;
+  int server_retries = 0;
   bool started = false;
   bool ended = false;
   bool cancelled = false;  // cancelled, timed out, or its node was killed
--- a/src/libnode/fakes/fake_servers.cc
+++ b/src/libnode/fakes/fake_servers.cc
@@ -99,7 +99,7 @@
     server->running.push_back(running);
     const std::vector<Header>& headers = running->request.headers;
     running->run_index = runs_.size();
-    const Effected effect{
+    const FakeServerRun effect{
         now_,
         server->options.name,
         server->options.service,
@@ -127,8 +127,8 @@
   if (!slow.empty() && request.body.view() == slow) {
     time *= server.options.slow_factor;
   }
-  if (server.busy > server.options.crowded_share * server.options.slots) {
-    time *= server.options.crowded_factor;
+  if (server.busy > server.options.busy_share * server.options.slots) {
+    time *= server.options.busy_factor;
   }
   const Duration warm_up = server.options.warm_up;
   const Duration age = now_ - server.started;
@@ -180,7 +180,7 @@
                    generation](const HttpResponse& response) {
     if (running->server->generation != generation) return;
     if (response.status < 500) return RunNested(running, next + 1);
-    if (running->own_retries++ < running->server->options.own_retries) {
+    if (running->server_retries++ < running->server->options.server_retries) {
       return RunNested(running, next);
     }
     FinishRun(running, 503);
--- a/src/libnode/fakes/settings_fleet.h
+++ b/src/libnode/fakes/settings_fleet.h
@@ -122,7 +122,7 @@
     host.random.seed(random_());
     host.highest = 0;
     host.store = std::make_unique<SettingsStore>(host.identity);
-    host.store->alive_in_data_centre = [this] {
+    host.store->up_in_data_centre = [this] {
       std::vector<std::string> names;
       for (const auto& [other, unused] : hosts_) names.push_back(other);
       return names;
--- a/src/libnode/large_service_test.cc
+++ b/src/libnode/large_service_test.cc
@@ -36,7 +36,7 @@
   // Assigns servers and nodes to the data centres in turn, so that the
   // unhealthy servers, which are the first ones, are spread over all of them.
   void Start() {
-    fleet.ForgetHistory();
+    fleet.DiscardHistory();
     for (int i = 0; i < kNodes; ++i) {
       fleet.AddNode(NodeName(i), "dc" + std::to_string(i % kDataCentres));
     }
@@ -48,7 +48,7 @@
       server.service_time = kServiceTime;
       fleet.AddServer(NodeName(i), server);
     }
-    fleet.on_run = [this](const Effected& run) { ++runs[run.server]; };
+    fleet.on_run = [this](const FakeServerRun& run) { ++runs[run.server]; };
     fleet.RunFor(seconds(30));
   }
 
--- a/src/libnode/membership/membership.cc
+++ b/src/libnode/membership/membership.cc
@@ -21,7 +21,7 @@
   return std::any_of(record.servers.begin(), record.servers.end(),
                      [&](const ServerRecord& known) {
                        return known.server == server && !known.draining &&
-                              known.fitness.sound();
+                              known.fitness.healthy();
                      });
 }
 
@@ -209,7 +209,7 @@
   if (known == self.servers.end() || known->fitness == fitness) return;
   known->fitness = fitness;
   // A recovery is not urgent: callers return to the server gradually.
-  ChangeSelf(std::move(self), !fitness.sound(), context);
+  ChangeSelf(std::move(self), !fitness.healthy(), context);
 }
 
 void Membership::ExpireServers(Context& context) {
@@ -243,7 +243,7 @@
   return member == nullptr ? Endpoint() : member->peer_address;
 }
 
-std::vector<std::string> Membership::AliveInDataCentre() const {
+std::vector<std::string> Membership::UpInDataCentre() const {
   std::vector<std::string> names = UpPeers();
   if (IsUp(Self())) names.push_back(identity_.node.name);
   return names;
@@ -327,10 +327,10 @@
     if (superseded_) return;
     superseded_ = true;
     if (record.peer_address == identity_.peer_address) {
-      superseded_here_by_ = record.node.incarnation;
+      superseded_at_same_address_by_ = record.node.incarnation;
     }
     context.Log(LogLevel::kError, kMembershipPart,
-                superseded_here_by_ != 0
+                superseded_at_same_address_by_ != 0
                     ? "a previous process at this address had a higher "
                       "incarnation (the clock was set back); restarting with a "
                       "higher one"
--- a/src/libnode/membership/membership.h
+++ b/src/libnode/membership/membership.h
@@ -71,17 +71,17 @@
     return table_.ServersOf(service);
   }
   // Returns true once any node is known to have announced the service.
-  bool ServiceKnown(const std::string& service) const {
-    return table_.ServiceKnown(service);
+  bool IsServiceKnown(const std::string& service) const {
+    return table_.IsServiceKnown(service);
   }
   // Returns the names of this data centre's nodes that are up, this node
   // included. All nodes choose the same delegates from them by hash.
-  std::vector<std::string> AliveInDataCentre() const;
+  std::vector<std::string> UpInDataCentre() const;
 
   // Returns the number of nodes that are up or whose tombstone is still kept,
   // this node included: nodes of a partitioned data centre may still be
   // working.
-  size_t NodesKnown() const { return table_.members().size(); }
+  size_t KnownNodeCount() const { return table_.members().size(); }
 
   void SetSettingsVersion(uint64_t version);
   // Shares the fingerprint of a request that crashed a server with the fleet.
@@ -109,7 +109,9 @@
   // Returns the incarnation of that process if it had this process's peer
   // address, else 0. Two processes cannot hold one address, so it has ended,
   // and the host's clock was set back before this process was started.
-  uint64_t superseded_here_by() const { return superseded_here_by_; }
+  uint64_t superseded_at_same_address_by() const {
+    return superseded_at_same_address_by_;
+  }
 
  private:
   struct Probe {
@@ -156,7 +158,7 @@
   void OnAck(const GossipMessage& message, Context& context);
   void OnPingRequest(const GossipReceived& received, Context& context);
 
-  // membership_spread.cc: dissemination and peer discovery.
+  // membership_dissemination.cc: dissemination and peer discovery.
   static bool IsRandomlyChosen(size_t peers, Context& context);
   void PingDepartedMembers(Context& context);
   void DiscoverPeers(Context& context);
@@ -199,7 +201,7 @@
   uint64_t settings_version_ = 0;
   bool view_verified_ = true;
   bool superseded_ = false;
-  uint64_t superseded_here_by_ = 0;
+  uint64_t superseded_at_same_address_by_ = 0;
   std::optional<TimePoint> started_;
   TimePoint last_now_{};
 
--- a/src/libnode/membership/membership_table.cc
+++ b/src/libnode/membership/membership_table.cc
@@ -84,7 +84,7 @@
   return found == services_.end() ? none : found->second;
 }
 
-bool MembershipTable::ServiceKnown(const std::string& service) const {
+bool MembershipTable::IsServiceKnown(const std::string& service) const {
   return services_.count(service) != 0;
 }
 
--- a/src/libnode/membership/membership_table.h
+++ b/src/libnode/membership/membership_table.h
@@ -67,7 +67,7 @@
     return members_;
   }
   const std::vector<ServerPlace>& ServersOf(const std::string& service) const;
-  bool ServiceKnown(const std::string& service) const;
+  bool IsServiceKnown(const std::string& service) const;
   std::set<std::string> DataCentres() const;
 
   // Returns a hash that is equal for equal tables. Dead and departed members
--- a/src/libnode/membership/membership_test.cc
+++ b/src/libnode/membership/membership_test.cc
@@ -118,8 +118,8 @@
   CHECK(places[0].data_centre == "derby");
   CHECK_FALSE(places[0].local);
   CHECK(fleet.at("derby-1").ServersOf("catalogue")[0].local);
-  CHECK(fleet.at("telford-2").ServiceKnown("catalogue"));
-  CHECK_FALSE(fleet.at("telford-2").ServiceKnown("proofing"));
+  CHECK(fleet.at("telford-2").IsServiceKnown("catalogue"));
+  CHECK_FALSE(fleet.at("telford-2").IsServiceKnown("proofing"));
 }
 
 TEST(Membership, RepeatedAnnouncementKeepsTheVersion) {
@@ -213,7 +213,7 @@
     m.OnSync({"derby-0", 1}, sync, context);
   });
   CHECK(fleet.at("derby-1").superseded());
-  CHECK_EQUAL(0u, fleet.at("derby-1").superseded_here_by());
+  CHECK_EQUAL(0u, fleet.at("derby-1").superseded_at_same_address_by());
   CHECK_EQUAL(1u, fleet.at("derby-1").Find("derby-1")->node.incarnation);
 }
 
@@ -261,7 +261,7 @@
     fleet.RestartAs("derby-1", 50);
     CHECK(fleet.RunUntil([&] { return fleet.at("derby-1").superseded(); },
                          seconds(3)));
-    CHECK_EQUAL(100u, fleet.at("derby-1").superseded_here_by());
+    CHECK_EQUAL(100u, fleet.at("derby-1").superseded_at_same_address_by());
   }
 }
 
--- a/src/libnode/membership_settings.cmake
+++ b/src/libnode/membership_settings.cmake
@@ -2,7 +2,7 @@
 set(AMARANTH_MEMBERSHIP_SETTINGS_SOURCES
     membership/membership.cc
     membership/membership_probe.cc
-    membership/membership_spread.cc
+    membership/membership_dissemination.cc
     membership/membership_sync.cc
     membership/membership_table.cc
     membership/membership_updates.cc
--- a/src/libnode/node_state.cc
+++ b/src/libnode/node_state.cc
@@ -71,9 +71,7 @@
                                             Context& context) {
     settings.OnConfirmed(version, ago, context.now);
   };
-  settings.alive_in_data_centre = [this]() {
-    return membership.AliveInDataCentre();
-  };
+  settings.up_in_data_centre = [this]() { return membership.UpInDataCentre(); };
   settings.on_adopted = [this](uint64_t version, Context& context) {
     membership.SetSettingsVersion(version);
     records.Add(context.now, "", "settings",
@@ -86,10 +84,10 @@
     entry.OnClaimResult(result, context);
   };
   links.awaits_answer = [this](const std::string& peer) {
-    return entry.Awaits(peer);
+    return entry.AwaitsAnswerFrom(peer);
   };
   links.on_unresponsive = [this](const std::string& peer, Context& context) {
-    entry.OnPeerQuiet(peer, context);
+    entry.OnPeerUnresponsive(peer, context);
   };
   links.on_dropped = [this](const std::string& peer, Context& context) {
     HandlePeerLost(peer, context);
@@ -183,7 +181,7 @@
 
 void NodeState::ApplyOne(const PeerReceived& event, Context& context) {
   links.OnReceived(event.peer.name, context);
-  entry.OnPeerHeard(event.peer.name);
+  entry.OnPeerResponded(event.peer.name);
   Deliver(event.peer, event.message, context);
 }
 
@@ -305,7 +303,7 @@
   stop.exited = true;
   context.Log(LogLevel::kInfo, "node",
               idle ? "Drained; exiting." : "Drain timed out; exiting.");
-  context.Emit(ExitProcess{membership.superseded_here_by()});
+  context.Emit(ExitProcess{membership.superseded_at_same_address_by()});
 }
 
 void NodeState::RequestWake(Context& context) {
--- a/src/libnode/overload_test.cc
+++ b/src/libnode/overload_test.cc
@@ -57,7 +57,8 @@
       {"path":"default/*/renewal","name":"tier","value":"critical"},
       {"path":"default/*/batch","name":"long_work","value":"true"},
       {"path":"default/*/batch","name":"deadline_ms","value":"8000"}]})");
-    const HttpResponse accepted = fleet.Operator("a1", std::move(settings));
+    const HttpResponse accepted =
+        fleet.CallOperatorApi("a1", std::move(settings));
     CHECK_EQUAL(200, accepted.status);
     fleet.RunFor(std::chrono::seconds(5));
     for (const std::string& host : hosts) {
@@ -85,7 +86,8 @@
     change.target = "/settings";
     change.body = Body(R"({"changes":[{"path":")" + path + R"(","name":")" +
                        name + R"(","value":")" + value + R"("}]})");
-    const HttpResponse accepted = fleet.Operator("a1", std::move(change));
+    const HttpResponse accepted =
+        fleet.CallOperatorApi("a1", std::move(change));
     CHECK_EQUAL(200, accepted.status);
     fleet.RunFor(std::chrono::seconds(5));
   }
@@ -170,8 +172,8 @@
   server.slots = 40;
   server.service_time = std::chrono::milliseconds(40);
   server.random_service_time = true;
-  server.crowded_share = 0.92;
-  server.crowded_factor = 1.4;
+  server.busy_share = 0.92;
+  server.busy_factor = 1.4;
   fleet.AddServer("a1", server);
   ChangeSetting("default/progress", "concurrency", kUsersPlatformConcurrency);
   SendStreams({{"first", "browse", "c", 2 * kBestRate}}, 5);
--- a/src/libnode/peer_links.cc
+++ b/src/libnode/peer_links.cc
@@ -37,7 +37,7 @@
       case ProgressWatch::Action::kProbe:
         context.Emit(SendPeer{peer, link.address, LinkPing{++link.pings}});
         break;
-      case ProgressWatch::Action::kDoubt:
+      case ProgressWatch::Action::kAvoid:
         on_unresponsive(peer, context);
         break;
       case ProgressWatch::Action::kDrop:
--- a/src/libnode/promises_property_test.cc
+++ b/src/libnode/promises_property_test.cc
@@ -154,7 +154,7 @@
     fleet_.RunFor(std::chrono::seconds(3));
   }
 
-  void HangUpLastCall() { fleet_.Hangup(RandomNode(), last_call_); }
+  void HangUpLastCall() { fleet_.HangUp(RandomNode(), last_call_); }
 
   void EndFaults() {
     ResumeAll();
@@ -167,7 +167,7 @@
   // (3) plus the first attempt allow.
   std::string FindViolationInRuns() const {
     std::map<std::pair<std::string, std::string>, size_t> runs;
-    for (const Effected& effect : fleet_.effects()) {
+    for (const FakeServerRun& effect : fleet_.runs()) {
       ++runs[{effect.request_id, effect.service}];
     }
     std::map<std::string, size_t> sendings_by_id;
@@ -202,7 +202,7 @@
     // then for any of its sendings. An idempotent one may run for one sending
     // and be refused for another.
     if (!sent.idempotent) {
-      for (const Effected& effect : fleet_.effects()) {
+      for (const FakeServerRun& effect : fleet_.runs()) {
         if (effect.request_id == sent.request_id && effect.at <= answer.at) {
           return "has the verdict not run, but had run at " + effect.server;
         }
@@ -213,7 +213,7 @@
       if (other.request_id == sent.request_id) ++sendings;
     }
     if (sendings > 1) return "";
-    for (const Effected& effect : fleet_.effects()) {
+    for (const FakeServerRun& effect : fleet_.runs()) {
       if (effect.request_id == sent.request_id) {
         return "has the verdict not run, but ran at " + effect.server;
       }
--- a/src/libnode/serving/left_servers.cc
+++ b/src/libnode/serving/departed_servers.cc
@@ -1,4 +1,4 @@
-#include "libnode/serving/left_servers.h"
+#include "libnode/serving/departed_servers.h"
 
 namespace amaranth::pvt {
 namespace {
--- a/src/libnode/serving/left_servers.h
+++ b/src/libnode/serving/departed_servers.h
@@ -1,5 +1,5 @@
-#ifndef AMARANTHROUTE_LIBNODE_SERVING_LEFT_SERVERS_H_
-#define AMARANTHROUTE_LIBNODE_SERVING_LEFT_SERVERS_H_
+#ifndef AMARANTHROUTE_LIBNODE_SERVING_DEPARTED_SERVERS_H_
+#define AMARANTHROUTE_LIBNODE_SERVING_DEPARTED_SERVERS_H_
 
 // Remembers backend servers that have left. A delayed announcement that says
 // "ready" may arrive after the leave message; if it were accepted, the server
@@ -49,4 +49,4 @@
 
 }  // namespace amaranth::pvt
 
-#endif  // AMARANTHROUTE_LIBNODE_SERVING_LEFT_SERVERS_H_
+#endif  // AMARANTHROUTE_LIBNODE_SERVING_DEPARTED_SERVERS_H_
--- a/src/libnode/serving/hop.h
+++ b/src/libnode/serving/hop.h
@@ -41,7 +41,7 @@
   uint32_t downstream_threshold = 0;
   // A nested call failed after its own retries. The answer is then final:
   // otherwise each layer above would retry the whole subtree again.
-  bool nested_gave_up = false;
+  bool nested_retries_exhausted = false;
   int nested_calls = 0;
   int nested_in_flight = 0;
   // Start of the current period with nested calls in flight.
@@ -49,7 +49,7 @@
   // Total length of the ended periods with nested calls in flight.
   Duration nested_time{0};
   // Sum of the queueing times of the ended nested calls.
-  Duration nested_waited{0};
+  Duration nested_wait_time{0};
   // Verdicts of failed nested calls, by fingerprint. If the backend server
   // repeats one, that is a retry and needs a retry credit.
   std::map<uint64_t, Verdict> failed_nested;
@@ -66,7 +66,7 @@
   Duration WaitTime(TimePoint now) const {
     const bool started = dispatched != TimePoint{};
     const Duration queued = (started ? dispatched : now) - arrived;
-    return queued + std::min(nested_waited, nested_time);
+    return queued + std::min(nested_wait_time, nested_time);
   }
   // Returns the service time without nested calls of a dispatched call. Time
   // spent in nested calls says nothing about the server's own slots: if the
--- a/src/libnode/serving/local_server.cc
+++ b/src/libnode/serving/local_server.cc
@@ -56,7 +56,7 @@
       record_(std::move(record)),
       latency_limit_(LimitOptions(record_, settings)),
       uses_slot_search_(settings.concurrency == ConcurrencyMode::kThroughput),
-      oldest_first_(shedding.steer_by_wait),
+      oldest_first_(shedding.threshold_from_wait),
       queue_(QueueOptions(settings, oldest_first_)),
       shedder_(shedding),
       long_work_(settings.long_work_share) {
--- a/src/libnode/serving/serving_results.cc
+++ b/src/libnode/serving/serving_results.cc
@@ -34,7 +34,7 @@
 
 std::string_view FitnessLabel(const ServerFitness& fitness) {
   if (fitness.failing) return "failing";
-  return fitness.sound() ? "sound" : "slow";
+  return fitness.healthy() ? "sound" : "slow";
 }
 
 }  // namespace
@@ -116,7 +116,7 @@
   const Duration service_time = hop.ServiceTime(now);
   // A failure caused by nested calls is not the server's own, nor is a deadline
   // that left it less time than it needs.
-  const bool caused_by_nested = hop.nested_gave_up ||
+  const bool caused_by_nested = hop.nested_retries_exhausted ||
                                 !hop.failed_nested.empty() ||
                                 hop.nested_in_flight > 0;
   const bool deadline_too_short =
@@ -153,7 +153,7 @@
   // An attempt that timed out is no sign of a crash.
   if (HasTimedOut(hop, now)) failure.reason = Reason::kDeadline;
   failure.detail = "backend server " + hop.server + " broke off";
-  failure.final = hop.nested_gave_up;
+  failure.final = hop.nested_retries_exhausted;
   return failure;
 }
 
@@ -245,7 +245,7 @@
   RemoveHeader(answer.response.headers, kRefusedHeader);
   // Marks the answer as final for the entry node, so that a 5xx that only
   // passes on a nested failure is not retried by another layer.
-  if (hop.nested_gave_up) {
+  if (hop.nested_retries_exhausted) {
     SetHeader(answer.response.headers, kFinalHeader, "1");
   }
   SendAnswer(hop, std::move(answer), context);
--- a/src/libnode/serving/serving_role.cc
+++ b/src/libnode/serving/serving_role.cc
@@ -166,7 +166,7 @@
     // Read before Pop. The wait of the call that is started would not do: with
     // order by tier and newest first it stays short in any overload, and
     // nothing would be shed.
-    const Duration standing_delay = server.queue().standing_delay(context.now);
+    const Duration oldest_wait = server.queue().oldest_wait(context.now);
     std::vector<QueuedCall> expired;
     const std::optional<QueuedCall> next =
         server.queue().Pop(context.now, server.expected_service(),
@@ -176,7 +176,7 @@
       if (server.queue().size() == 0) server.shedder().OnIdle(context.now);
       return;
     }
-    server.shedder().OnQueueDelay(standing_delay, context.now);
+    server.shedder().OnQueueDelay(oldest_wait, context.now);
     Dispatch(hops_.at(next->id), server, context);
   }
 }
--- a/src/libnode/serving/serving_servers.cc
+++ b/src/libnode/serving/serving_servers.cc
@@ -126,7 +126,7 @@
     return;
   } else {
     ShedderOptions shedding;
-    shedding.steer_by_wait = context.identity.rules.admit_at_edge;
+    shedding.threshold_from_wait = context.identity.rules.admit_at_edge;
     LocalServer server(record, settings, shedding, context.now);
     server.stamp = stamp;
     if (record.draining) BeginDrain(server, context);
--- a/src/libnode/settings/settings_store.cc
+++ b/src/libnode/settings/settings_store.cc
@@ -140,9 +140,9 @@
 }
 
 bool SettingsStore::IsAmongFirst(size_t count) const {
-  if (!alive_in_data_centre) return true;
+  if (!up_in_data_centre) return true;
   const std::vector<std::string> chosen =
-      RendezvousChoose(alive_in_data_centre(), kDelegateKey, count);
+      RendezvousChoose(up_in_data_centre(), kDelegateKey, count);
   return std::find(chosen.begin(), chosen.end(), identity_.node.name) !=
          chosen.end();
 }
--- a/src/libnode/settings/settings_store.h
+++ b/src/libnode/settings/settings_store.h
@@ -30,7 +30,7 @@
 
   // Nodes of this data centre that are up, this one included: the delegates
   // that poll the platform's head are chosen from them by hash.
-  std::function<std::vector<std::string>()> alive_in_data_centre;
+  std::function<std::vector<std::string>()> up_in_data_centre;
   // Called after a new version came into force.
   std::function<void(uint64_t version, Context&)> on_adopted;
 
--- a/src/libnode/shared/caller_headers.cc
+++ b/src/libnode/shared/caller_headers.cc
@@ -19,7 +19,7 @@
   if (value.size() > kMaxHeaderValue) {
     return Error{ErrorCode::kTooLarge, std::string(name) + " is too long"};
   }
-  if (!IsCleanText(value)) {
+  if (!IsSafeText(value)) {
     return Error{ErrorCode::kInvalid,
                  std::string(name) + " has characters that are not allowed"};
   }
@@ -72,7 +72,7 @@
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-bool IsCleanText(std::string_view text) {
+bool IsSafeText(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) {
     return c > ' ' && c < '\x7f' && c != '"' && c != '\\';
   });
--- a/src/libnode/shared/caller_headers.h
+++ b/src/libnode/shared/caller_headers.h
@@ -54,7 +54,7 @@
 
 // Returns whether the text is printable ASCII without spaces, double quotes and
 // backslashes, and so is safe in logs, JSON and metric labels.
-bool IsCleanText(std::string_view text);
+bool IsSafeText(std::string_view text);
 
 // Service and class that a route gives to a request without a service header.
 struct MatchedRoute {
--- a/src/libpolicy/admission_queue.cc
+++ b/src/libpolicy/admission_queue.cc
@@ -92,7 +92,7 @@
 
 size_t AdmissionQueue::size() const { return places_.size(); }
 
-Duration AdmissionQueue::standing_delay(TimePoint now) const {
+Duration AdmissionQueue::oldest_wait(TimePoint now) const {
   Duration oldest{0};
   const auto include = [&](const Lane& lane) {
     if (lane.by_age.empty()) return;
--- a/src/libpolicy/admission_window.cc
+++ b/src/libpolicy/admission_window.cc
@@ -40,7 +40,7 @@
   return false;
 }
 
-bool AdmissionWindow::CanGiveWay() const {
+bool AdmissionWindow::CanShrink() const {
   const bool above_minimum =
       static_cast<double>(in_flight_) > options_.min_limit &&
       (!limited_ || limit_ > options_.min_limit);
--- a/src/libpolicy/fake_node.cc
+++ b/src/libpolicy/fake_node.cc
@@ -50,7 +50,7 @@
     if (call.load != load) continue;
     if (call.arrived < At(from) || call.arrived >= At(to)) continue;
     ++tally.offered;
-    if (call.admitted) ++tally.let_in;
+    if (call.admitted) ++tally.admitted;
     if (!call.good) continue;
     ++tally.good;
     tally.mean_millis += static_cast<double>(call.response_time.count()) / 1000;
@@ -95,7 +95,7 @@
   std::vector<QueuedCall> expired;
   const Duration service(static_cast<int64_t>(service_micros_));
   while (in_flight_ < limit_.limit()) {
-    const Duration delay = queue_.standing_delay(now);
+    const Duration delay = queue_.oldest_wait(now);
     const bool long_allowed =
         long_share_.Allows(long_in_flight_, limit_.limit());
     const std::optional<QueuedCall> call =
--- a/src/libpolicy/fake_node.h
+++ b/src/libpolicy/fake_node.h
@@ -50,7 +50,7 @@
 // Results of the calls of one load that arrived within a time range.
 struct FakeTally {
   int offered = 0;
-  int let_in = 0;          // admitted by the shedder
+  int admitted = 0;        // admitted by the shedder
   int good = 0;            // answered before the deadline
   double mean_millis = 0;  // response time of good calls
   double good_share() const {
--- a/src/libpolicy/progress_watch.cc
+++ b/src/libpolicy/progress_watch.cc
@@ -38,7 +38,7 @@
   if (unanswered >= options_.drop_after) return Action::kDrop;
   if (avoided_ || unanswered < options_.avoid_after) return Action::kNone;
   avoided_ = true;
-  return Action::kDoubt;
+  return Action::kAvoid;
 }
 
 TimePoint ProgressWatch::next_check(bool outstanding) const {
--- a/src/libpolicy/progress_watch_test.cc
+++ b/src/libpolicy/progress_watch_test.cc
@@ -24,7 +24,7 @@
   CHECK(watch.next_check(true) == At(250));
   CHECK(watch.Check(At(250), true) == Action::kProbe);
   CHECK(watch.next_check(true) == At(400));
-  CHECK(watch.Check(At(400), true) == Action::kDoubt);
+  CHECK(watch.Check(At(400), true) == Action::kAvoid);
   watch.OnSent(At(900));  // later sends do not delay the drop
   CHECK(watch.Check(At(1000), true) == Action::kNone);
   CHECK(watch.next_check(true) == At(2000));
@@ -38,7 +38,7 @@
   for (int now = 0; now < 60000; now += 100) {
     const Action action = watch.Check(At(now), true);
     CHECK(action != Action::kDrop);
-    CHECK(action != Action::kDoubt);
+    CHECK(action != Action::kAvoid);
     if (action != Action::kProbe) continue;
     ++probes;
     watch.OnSent(At(now));
--- a/src/libpolicy/retry_budget.cc
+++ b/src/libpolicy/retry_budget.cc
@@ -10,7 +10,7 @@
       first_attempts_(kWindow),
       retries_(kWindow) {}
 
-void RetryBudget::OnFirstTry(TimePoint now) { first_attempts_.Add(now); }
+void RetryBudget::OnFirstAttempt(TimePoint now) { first_attempts_.Add(now); }
 
 bool RetryBudget::TryRetry(TimePoint now) {
   const double window_seconds = std::chrono::duration<double>(kWindow).count();
--- a/src/libpolicy/retry_test.cc
+++ b/src/libpolicy/retry_test.cc
@@ -29,7 +29,7 @@
       now += Duration(*rc::gen::inRange(0, 50000));
       if (*rc::gen::inRange(0, 4) != 0) {
         ++first_attempts;
-        budget.OnFirstTry(now);
+        budget.OnFirstAttempt(now);
       }
       if (budget.TryRetry(now)) ++retries;
       // The elapsed time is covered by windows that end at a granted retry.
@@ -50,7 +50,7 @@
   TimePoint now{};
   for (int call = 0; call < 100000; ++call) {
     now += milliseconds(10);
-    budget.OnFirstTry(now);
+    budget.OnFirstAttempt(now);
   }
   int retries = 0;
   while (budget.TryRetry(now)) ++retries;
@@ -63,7 +63,7 @@
 TEST(RetryTest, AServiceWithFewRequestsCanRetry) {
   RetryBudget budget;
   const TimePoint now = TimePoint{} + seconds(100);
-  budget.OnFirstTry(now);
+  budget.OnFirstAttempt(now);
   CHECK(budget.TryRetry(now));
 }
 
--- a/src/libpolicy/server_judge.cc
+++ b/src/libpolicy/server_judge.cc
@@ -24,7 +24,7 @@
   if (!IsWindowComplete(now)) return;
   const ServerFitness verdict = WindowVerdict();
   window_ = Window();
-  if (!verdict.sound()) {
+  if (!verdict.healthy()) {
     HoldVerdict(verdict, now);
   } else if (now < held_until_) {
     // The server recovered while it still received some calls.
--- a/src/libpolicy/server_judge_test.cc
+++ b/src/libpolicy/server_judge_test.cc
@@ -53,7 +53,7 @@
 TEST(ServerJudgeTest, AServerWithASmallSlowdownAndFewFailuresIsHealthy) {
   const TimePoint now =
       RunCalls(judge, kTypicalTime * 3 / 2, 10, start, seconds(20));
-  CHECK(judge.Fitness(now).sound());
+  CHECK(judge.Fitness(now).healthy());
 }
 
 // Guards against a verdict on a server whose calls have no typical service time
@@ -64,7 +64,7 @@
     now += kCallInterval;
     judge.OnEnded(seconds(1), Duration(0), false, now);
   }
-  CHECK(judge.Fitness(now).sound());
+  CHECK(judge.Fitness(now).healthy());
 }
 
 // Guards against verdicts on a server that happens to receive many long calls
@@ -76,7 +76,7 @@
     const bool is_long = i % 7 == 0 || (i > 200 && i < 220);
     const Duration typical_time = is_long ? kTypicalTime * 15 : kTypicalTime;
     judge.OnEnded(typical_time * 6 / 5, typical_time, false, now);
-    CHECK(judge.Fitness(now).sound());
+    CHECK(judge.Fitness(now).healthy());
   }
 }
 
@@ -85,8 +85,8 @@
 TEST(ServerJudgeTest, AVerdictExpiresWithoutCalls) {
   const TimePoint now =
       RunCalls(judge, kTypicalTime, 2, start, milliseconds(600));
-  CHECK(!judge.Fitness(now).sound());
-  CHECK(judge.Fitness(now + seconds(5)).sound());
+  CHECK(!judge.Fitness(now).healthy());
+  CHECK(judge.Fitness(now + seconds(5)).healthy());
 }
 
 // Guards against a persistently failing server that gets full load again every
@@ -94,8 +94,8 @@
 TEST(ServerJudgeTest, ARepeatedVerdictHoldsLonger) {
   TimePoint now = RunCalls(judge, kTypicalTime, 2, start, milliseconds(600));
   now = RunCalls(judge, kTypicalTime, 2, now + seconds(5), milliseconds(600));
-  CHECK(!judge.Fitness(now + seconds(6)).sound());
-  CHECK(judge.Fitness(now + seconds(9)).sound());
+  CHECK(!judge.Fitness(now + seconds(6)).healthy());
+  CHECK(judge.Fitness(now + seconds(9)).healthy());
 }
 
 // Guards against a recovered server that is avoided for seconds although the
@@ -103,9 +103,9 @@
 TEST(ServerJudgeTest, HealthyResultsEndAVerdictEarly) {
   TimePoint now =
       RunCalls(judge, kTypicalTime * 5, 0, start, milliseconds(600));
-  CHECK(!judge.Fitness(now).sound());
+  CHECK(!judge.Fitness(now).healthy());
   now = RunCalls(judge, kTypicalTime, 0, now, seconds(1));
-  CHECK(judge.Fitness(now).sound());
+  CHECK(judge.Fitness(now).healthy());
 }
 
 }  // namespace amaranth
--- a/src/libpolicy/shedder.cc
+++ b/src/libpolicy/shedder.cc
@@ -99,7 +99,7 @@
   const double seconds =
       std::chrono::duration<double>(now - window_.start).count();
   const double delay = window_.starts == 0 ? 0 : window_.delay / window_.starts;
-  if (options_.steer_by_wait) {
+  if (options_.threshold_from_wait) {
     UpdateThresholdByWait(delay, seconds, now);
   } else {
     UpdateThresholdByCounts(delay, seconds);
@@ -223,7 +223,7 @@
   const auto [found, is_new] = entries_.try_emplace(service);
   Entry& entry = found->second;
   const double current =
-      is_new ? 0 : Faded(entry.threshold, entry.updated, now);
+      is_new ? 0 : Decayed(entry.threshold, entry.updated, now);
   entry.threshold = current + kGain * (threshold - current);
   entry.updated = now;
   if (entry.threshold < kMinThreshold) entries_.erase(found);
@@ -234,12 +234,12 @@
   const auto found = entries_.find(service);
   if (found == entries_.end()) return 0;
   const Entry& entry = found->second;
-  const double threshold = Faded(entry.threshold, entry.updated, now);
+  const double threshold = Decayed(entry.threshold, entry.updated, now);
   return threshold < kMinThreshold ? 0 : static_cast<uint32_t>(threshold);
 }
 
-double DownstreamThresholds::Faded(double threshold, TimePoint updated,
-                                   TimePoint now) {
+double DownstreamThresholds::Decayed(double threshold, TimePoint updated,
+                                     TimePoint now) {
   const Duration age = now - updated;
   if (age <= kDecayDelay) return threshold;
   const double decayed = static_cast<double>((age - kDecayDelay).count()) /
--- a/src/libpolicy/shedder_test.cc
+++ b/src/libpolicy/shedder_test.cc
@@ -83,7 +83,7 @@
   // work that upstream hops have already done for it.
   double admitted = 0;
   for (size_t tier = 0; tier < kTierCount; ++tier) {
-    admitted += node.Tally(tier, kSurgeStart + 0.5, kSurgeEnd).let_in /
+    admitted += node.Tally(tier, kSurgeStart + 0.5, kSurgeEnd).admitted /
                 (kSurgeEnd - kSurgeStart - 0.5);
   }
   const double good = GoodPerSecond(node, kSurgeStart + 0.5, kSurgeEnd);
@@ -329,7 +329,7 @@
 TEST(ShedderTest, BacklogOfRequestChainsDrains) {
   constexpr int kCapacity = 250;  // requests a second: 15 slots / 15 ms / 4
   ShedderOptions by_wait;
-  by_wait.steer_by_wait = true;
+  by_wait.threshold_from_wait = true;
   const auto [millis, completed] = ChainLoad(by_wait).Run(2 * kCapacity, 20);
   CHECK(millis < 900);
   CHECK(completed > 0.85 * kCapacity * 10);
@@ -346,7 +346,7 @@
 // nothing: 0 calls waiting in one second, 460 in the next.
 TEST(ShedderTest, ThresholdOscillationDoesNotIdleSlots) {
   ShedderOptions options;
-  options.steer_by_wait = true;
+  options.threshold_from_wait = true;
   for (const auto& [slots, service_ms] :
        {std::pair<int, int>{15, 15}, {110, 24}, {110, 17}}) {
     for (const double load : {1.3, 1.7, 2.0}) {
@@ -369,7 +369,7 @@
   constexpr int kServiceMs = 24;
   constexpr int kOffered = 2 * kSlots * 1000 / kServiceMs / 4;
   ShedderOptions by_wait;
-  by_wait.steer_by_wait = true;
+  by_wait.threshold_from_wait = true;
   ChainLoad by_count(by_wait, kSlots, kServiceMs, 256);
   by_count.Run(kOffered, 10);
   const size_t capacity = AdmissionQueue::CapacityForWait(
