--- a/src/libreplay/event_json.cc
+++ b/src/libreplay/event_json.cc
@@ -12,17 +12,17 @@
 
 using Json = nlohmann::json;
 
-// Bodies and wire messages are bytes, JSON is text.
-std::string BytesOf(const Json& text) {
-  std::optional<std::string> bytes = FromBase64(text.get<std::string>());
-  if (!bytes) throw std::invalid_argument("bad base64");
+// Bodies and encoded messages are bytes and are stored in base64.
+std::string BytesFromJson(const Json& text) {
+  std::optional<std::string> bytes = DecodeBase64(text.get<std::string>());
+  if (!bytes) throw std::invalid_argument("invalid base64");
   return std::move(*bytes);
 }
 
 Json ToJson(const std::vector<Header>& headers) {
   Json json = Json::array();
   for (const Header& header : headers) {
-    json.push_back({Base64(header.name), Base64(header.value)});
+    json.push_back({EncodeBase64(header.name), EncodeBase64(header.value)});
   }
   return json;
 }
@@ -30,38 +30,38 @@
 std::vector<Header> HeadersFromJson(const Json& json) {
   std::vector<Header> headers;
   for (const Json& pair : json) {
-    headers.push_back({BytesOf(pair.at(0)), BytesOf(pair.at(1))});
+    headers.push_back({BytesFromJson(pair.at(0)), BytesFromJson(pair.at(1))});
   }
   return headers;
 }
 
 Json ToJson(const HttpRequest& request) {
   return {{"method", request.method},
-          {"target", Base64(request.target)},
+          {"target", EncodeBase64(request.target)},
           {"headers", ToJson(request.headers)},
-          {"body", Base64(request.body.view())}};
+          {"body", EncodeBase64(request.body.view())}};
 }
 
 HttpRequest RequestFromJson(const Json& json) {
   HttpRequest request;
   request.method = json.at("method");
-  request.target = BytesOf(json.at("target"));
+  request.target = BytesFromJson(json.at("target"));
   request.headers = HeadersFromJson(json.at("headers"));
-  request.body = Body(BytesOf(json.at("body")));
+  request.body = Body(BytesFromJson(json.at("body")));
   return request;
 }
 
 Json ToJson(const HttpResponse& response) {
   return {{"status", response.status},
           {"headers", ToJson(response.headers)},
-          {"body", Base64(response.body.view())}};
+          {"body", EncodeBase64(response.body.view())}};
 }
 
 HttpResponse ResponseFromJson(const Json& json) {
   HttpResponse response;
   response.status = json.at("status");
   response.headers = HeadersFromJson(json.at("headers"));
-  response.body = Body(BytesOf(json.at("body")));
+  response.body = Body(BytesFromJson(json.at("body")));
   return response;
 }
 
@@ -77,33 +77,33 @@
   return {{"status", static_cast<int>(reply.status)},
           {"holders", reply.holders},
           {"version", reply.version},
-          {"bytes", Base64(reply.bytes)},
+          {"bytes", EncodeBase64(reply.bytes)},
           {"peers", reply.peers}};
 }
 
-PlatformReply ReplyFromJson(const Json& json) {
+PlatformReply PlatformReplyFromJson(const Json& json) {
   PlatformReply reply;
   reply.status = static_cast<PlatformStatus>(json.at("status").get<int>());
   reply.holders = json.at("holders").get<std::vector<std::string>>();
   reply.version = json.at("version");
-  reply.bytes = BytesOf(json.at("bytes"));
+  reply.bytes = BytesFromJson(json.at("bytes"));
   reply.peers = json.at("peers").get<std::vector<std::string>>();
   return reply;
 }
 
 PeerMessage MessageFromJson(const Json& json) {
-  Outcome<PeerMessage> message = DecodePeerMessage(BytesOf(json));
+  Outcome<PeerMessage> message = DecodePeerMessage(BytesFromJson(json));
   if (!message) throw std::invalid_argument(message.error().message);
   return std::move(message.value());
 }
 
 GossipMessage GossipFromJson(const Json& json) {
-  Outcome<GossipMessage> message = DecodeGossip(BytesOf(json));
+  Outcome<GossipMessage> message = DecodeGossip(BytesFromJson(json));
   if (!message) throw std::invalid_argument(message.error().message);
   return std::move(message.value());
 }
 
-struct Writer {
+struct EventBodyToJson {
   Json operator()(const CallerRequest& e) const {
     return {{"type", "caller-request"},
             {"call", e.call},
@@ -122,7 +122,7 @@
     return {{"type", "peer-received"},
             {"peer", e.peer.name},
             {"incarnation", e.peer.incarnation},
-            {"message", Base64(EncodePeerMessage(e.message))}};
+            {"message", EncodeBase64(EncodePeerMessage(e.message))}};
   }
   Json operator()(const PeerLost& e) const {
     return {{"type", "peer-lost"}, {"peer", e.peer}};
@@ -130,12 +130,12 @@
   Json operator()(const PeerSendFailed& e) const {
     return {{"type", "peer-send-failed"},
             {"peer", e.peer},
-            {"message", Base64(EncodePeerMessage(e.message))}};
+            {"message", EncodeBase64(EncodePeerMessage(e.message))}};
   }
   Json operator()(const GossipReceived& e) const {
     return {{"type", "gossip-received"},
             {"from", ToJson(e.from)},
-            {"message", Base64(EncodeGossip(e.message))}};
+            {"message", EncodeBase64(EncodeGossip(e.message))}};
   }
   Json operator()(const ServerReplied& e) const {
     return {{"type", "server-replied"},
@@ -160,12 +160,14 @@
 
 }  // namespace
 
-Json EventToJson(const EventBody& body) { return std::visit(Writer(), body); }
+Json EventToJson(const EventBody& body) {
+  return std::visit(EventBodyToJson(), body);
+}
 
 EventBody EventFromJson(const Json& json) {
   const std::string type = json.at("type");
   if (type == "caller-request") {
-    // Logs of nodes that did not tell callers apart have no such field.
+    // Logs of earlier versions have no "from" field.
     return CallerRequest{json.at("call"), RequestFromJson(json.at("request")),
                          static_cast<CallerKind>(json.value("from", 0))};
   }
@@ -196,7 +198,8 @@
                         static_cast<Reason>(json.at("reason").get<int>())};
   }
   if (type == "platform-replied") {
-    return PlatformReplied{json.at("op"), ReplyFromJson(json.at("reply"))};
+    return PlatformReplied{json.at("op"),
+                           PlatformReplyFromJson(json.at("reply"))};
   }
   if (type == "tick") return Tick{};
   if (type == "stop-requested") return StopRequested{};
--- a/src/libreplay/event_json.h
+++ b/src/libreplay/event_json.h
@@ -1,9 +1,9 @@
 #ifndef AMARANTHROUTE_LIBREPLAY_EVENT_JSON_H_
 #define AMARANTHROUTE_LIBREPLAY_EVENT_JSON_H_
 
-// Events and identities to JSON and back. Reading throws
-// nlohmann::json::exception or std::invalid_argument on bad input; event_log.cc
-// turns both into an Error.
+// Converts events and identities to JSON and back. The conversions from JSON
+// throw nlohmann::json::exception or std::invalid_argument on invalid input;
+// event_log.cc converts both to an Error.
 
 #include <nlohmann/json.hpp>
 
@@ -12,6 +12,8 @@
 
 namespace amaranth::pvt {
 
+// Writes whether an operator token is set, but neither the token nor the
+// DeploymentRules.
 nlohmann::json IdentityToJson(const NodeIdentity& identity);
 NodeIdentity IdentityFromJson(const nlohmann::json& json);
 
--- a/src/libreplay/event_log.cc
+++ b/src/libreplay/event_log.cc
@@ -12,16 +12,16 @@
 namespace amaranth {
 namespace {
 
-// A recorded operators' request carries its bearer token in a header; it is
-// blanked before it is written, since a log may be handed to others.
-Event WithoutSecrets(const Event& event) {
+// Removes the bearer token from an operator's request before it is logged,
+// since logs may be shared.
+Event RedactCredentials(const Event& event) {
   const auto* request = std::get_if<OperatorRequest>(&event.body);
   if (request == nullptr) return event;
-  OperatorRequest blanked = *request;
-  if (!FindHeader(blanked.request.headers, "Authorization").empty()) {
-    SetHeader(blanked.request.headers, "Authorization", "(removed)");
+  OperatorRequest redacted = *request;
+  if (!FindHeader(redacted.request.headers, "Authorization").empty()) {
+    SetHeader(redacted.request.headers, "Authorization", "(removed)");
   }
-  return {event.now, std::move(blanked)};
+  return {event.now, std::move(redacted)};
 }
 
 struct LoggedEvent {
@@ -37,7 +37,7 @@
   return logged;
 }
 
-void Trace(std::ostream* out, const Event& event, const Effects& effects) {
+void PrintTrace(std::ostream* out, const Event& event, const Effects& effects) {
   if (out == nullptr) return;
   *out << event << "\n";
   for (const Effect& effect : effects) *out << "  -> " << effect << "\n";
@@ -59,7 +59,7 @@
     const Effects effects = node->Reduce(logged.event);
     ++report.events;
     report.effects += effects.size();
-    Trace(trace, logged.event, effects);
+    PrintTrace(trace, logged.event, effects);
     if (DigestOf(effects) == logged.digest) continue;
     ++report.differing;
     if (report.first_difference == 0) report.first_difference = number;
@@ -83,9 +83,9 @@
 }
 
 std::string FormatEvent(const Event& event, uint64_t effects_digest) {
-  const Event safe = WithoutSecrets(event);
-  return nlohmann::json{{"at_us", ToMicros(safe.now)},
-                        {"event", pvt::EventToJson(safe.body)},
+  const Event redacted = RedactCredentials(event);
+  return nlohmann::json{{"at_us", ToMicros(redacted.now)},
+                        {"event", pvt::EventToJson(redacted.body)},
                         {"effects", effects_digest}}
       .dump();
 }
--- a/src/libreplay/event_log_test.cc
+++ b/src/libreplay/event_log_test.cc
@@ -18,7 +18,7 @@
   return identity;
 }
 
-HttpRequest Post(const std::string& target, const std::string& body) {
+HttpRequest PostRequest(const std::string& target, const std::string& body) {
   HttpRequest request;
   request.method = "POST";
   request.target = target;
@@ -26,22 +26,22 @@
   return request;
 }
 
-HttpRequest Call() {
+HttpRequest ServiceRequest() {
   HttpRequest request;
   request.headers = {{"X-Amaranth-Service", "proofing"}};
   request.body = Body(std::string("\0binary\xff", 8));
   return request;
 }
 
-// Events of every kind that a node of its own meets.
-std::vector<Event> Story() {
+// Returns events of every type, with times that increase.
+std::vector<Event> EventsOfEveryType() {
   std::vector<EventBody> bodies = {
-      CallerRequest{1, Post("/amaranth/v1/announce",
-                            R"({"server":"p1","service":"proofing",)"
-                            R"("address":"127.0.0.1:9","slots":1})")},
-      CallerRequest{2, Call()},
-      CallerRequest{3, Call()},
-      CallerRequest{4, Call()},
+      CallerRequest{1, PostRequest("/amaranth/v1/announce",
+                                   R"({"server":"p1","service":"proofing",)"
+                                   R"("address":"127.0.0.1:9","slots":1})")},
+      CallerRequest{2, ServiceRequest()},
+      CallerRequest{3, ServiceRequest()},
+      CallerRequest{4, ServiceRequest()},
       CallerGone{3},
       PeerReceived{{"n2", 5}, LinkPing{9}},
       PeerReceived{{"n2", 5}, CallAnswer{99, 77, {}, {}, 0, {}, false, {}}},
@@ -51,7 +51,7 @@
       ServerReplied{5, HttpResponse{200, {}, Body("whole")}},
       ServerFailed{7, Verdict::kMayHaveRun, Reason::kConnectionLost},
       PlatformReplied{3, {}},
-      OperatorRequest{8, Post("/nowhere", "")},
+      OperatorRequest{8, PostRequest("/nowhere", "")},
       Tick{},
       StopRequested{},
       Tick{},
@@ -65,7 +65,7 @@
   return events;
 }
 
-std::string Record(const std::vector<Event>& events) {
+std::string RecordLog(const std::vector<Event>& events) {
   std::ostringstream log;
   const TimePoint started = FromMicros(500'000);
   Node node(Identity());
@@ -81,9 +81,9 @@
 
 TEST_GROUP(EventLog){};
 
-TEST(EventLog, ARecordedLogReplaysToTheSameEffects) {
-  const std::vector<Event> events = Story();
-  std::istringstream log(Record(events));
+TEST(EventLog, ReplayYieldsTheRecordedEffects) {
+  const std::vector<Event> events = EventsOfEveryType();
+  std::istringstream log(RecordLog(events));
   const Outcome<ReplayReport> report = ReplayLog(log, nullptr);
   CHECK(report.has_value());
   CHECK_EQUAL(events.size(), report.value().events);
@@ -91,24 +91,25 @@
   CHECK_EQUAL(0u, report.value().differing);
 }
 
-TEST(EventLog, AChangedLogIsNoticedAtItsLine) {
-  std::string text = Record(Story());
-  const size_t gone = text.find("caller-gone");
-  text.replace(gone, 11, "caller-gon3");
-  std::istringstream unknown(text);
-  CHECK(!ReplayLog(unknown, nullptr));
-  std::vector<Event> events = Story();
-  const std::string whole = Record(events);
+TEST(EventLog, ChangedLogIsDetected) {
+  std::string text = RecordLog(EventsOfEveryType());
+  const size_t type = text.find("caller-gone");
+  text.replace(type, 11, "caller-gon3");
+  std::istringstream unknown_type(text);
+  CHECK(!ReplayLog(unknown_type, nullptr));
+  std::vector<Event> events = EventsOfEveryType();
+  const std::string whole = RecordLog(events);
   const size_t line = whole.find('\n', whole.find('\n') + 1);
   const size_t next = whole.find('\n', line + 1);
-  std::istringstream shorter(whole.substr(0, line) + whole.substr(next));
-  const Outcome<ReplayReport> report = ReplayLog(shorter, nullptr);
+  std::istringstream without_an_event(whole.substr(0, line) +
+                                      whole.substr(next));
+  const Outcome<ReplayReport> report = ReplayLog(without_an_event, nullptr);
   CHECK(report.has_value());
   CHECK(report.value().differing > 0);
 }
 
-TEST(EventLog, ALogHoldsNoOperatorsToken) {
-  OperatorRequest request{1, Post("/drain", "")};
+TEST(EventLog, OperatorTokenIsNotLogged) {
+  OperatorRequest request{1, PostRequest("/drain", "")};
   request.request.headers = {{"Authorization", "Bearer secret-token"}};
   const std::string line = FormatEvent({FromMicros(1), request}, 0);
   std::istringstream log(FormatIdentity(Identity(), FromMicros(0)) + "\n" +
@@ -118,9 +119,9 @@
   CHECK(trace.str().find("secret-token") == std::string::npos);
 }
 
-TEST(EventLog, NoiseIsAnError) {
-  for (const char* noise : {"", "{}", "not json", "[1,2]"}) {
-    std::istringstream log(noise);
+TEST(EventLog, MalformedLogIsAnError) {
+  for (const char* malformed : {"", "{}", "not json", "[1,2]"}) {
+    std::istringstream log(malformed);
     CHECK(!ReplayLog(log, nullptr));
   }
 }
--- a/src/libutil/base64.cc
+++ b/src/libutil/base64.cc
@@ -4,7 +4,7 @@
 
 namespace amaranth::pvt {
 
-std::string Base64(std::string_view bytes) {
+std::string EncodeBase64(std::string_view bytes) {
   std::string text(4 * ((bytes.size() + 2) / 3) + 1, '\0');
   const int length =
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
@@ -14,7 +14,7 @@
   return text;
 }
 
-std::optional<std::string> FromBase64(std::string_view text) {
+std::optional<std::string> DecodeBase64(std::string_view text) {
   if (text.empty()) return std::string();
   std::string bytes(text.size(), '\0');
   const int length =
--- a/src/libutil/base64.h
+++ b/src/libutil/base64.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBUTIL_BASE64_H_
 #define AMARANTHROUTE_LIBUTIL_BASE64_H_
 
-// Bytes as text, for formats that carry text only.
+// Base64, for text formats that carry bytes.
 
 #include <optional>
 #include <string>
@@ -9,10 +9,10 @@
 
 namespace amaranth::pvt {
 
-std::string Base64(std::string_view bytes);
+std::string EncodeBase64(std::string_view bytes);
 
-// The bytes that `text` stands for; nothing if it is not base64.
-std::optional<std::string> FromBase64(std::string_view text);
+// Returns the decoded bytes, or nullopt if `text` is not valid base64.
+std::optional<std::string> DecodeBase64(std::string_view text);
 
 }  // namespace amaranth::pvt
 
--- a/src/libutil/duration_text.cc
+++ b/src/libutil/duration_text.cc
@@ -8,8 +8,8 @@
 
 constexpr double kMaxSeconds = 86'400;
 
-Error Invalid(std::string_view text, const char* what) {
-  return {ErrorCode::kInvalid, "'" + std::string(text) + "' " + what};
+Error Invalid(std::string_view text, const char* problem) {
+  return {ErrorCode::kInvalid, "'" + std::string(text) + "' " + problem};
 }
 
 }  // namespace
@@ -20,7 +20,7 @@
   const std::from_chars_result read = std::from_chars(text.data(), end, number);
   const std::string_view unit(read.ptr, static_cast<size_t>(end - read.ptr));
   if (read.ec != std::errc() || (unit != "ms" && unit != "s")) {
-    return Invalid(text, "is no time");
+    return Invalid(text, "is not a duration");
   }
   const double seconds = unit == "s" ? number : number / 1000;
   if (!(seconds >= 0 && seconds <= kMaxSeconds)) {
--- a/src/libutil/duration_text.h
+++ b/src/libutil/duration_text.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBUTIL_DURATION_TEXT_H_
 #define AMARANTHROUTE_LIBUTIL_DURATION_TEXT_H_
 
-// Times as people and settings write them.
+// Durations in text, as used in settings and flags.
 
 #include <string_view>
 
@@ -10,7 +10,8 @@
 
 namespace amaranth::pvt {
 
-// Reads a number and its unit, "1500ms" or "2.5s"; a day at most.
+// Parses a number with the unit ms or s, such as "1500ms" or "2.5s", up to one
+// day. Errors: kInvalid.
 Outcome<Duration> ParseDuration(std::string_view text);
 
 }  // namespace amaranth::pvt
--- a/src/libutil/fields.h
+++ b/src/libutil/fields.h
@@ -1,9 +1,10 @@
 #ifndef AMARANTHROUTE_LIBUTIL_FIELDS_H_
 #define AMARANTHROUTE_LIBUTIL_FIELDS_H_
 
-// The members of each message, event and effect as a tuple: comparison and
-// printing are written once over these, so a member added here is compared
-// and printed everywhere.
+// Fields() returns the members of a message, event or effect as a tuple.
+// Comparison and printing are implemented once, on these tuples, so that a
+// member added here is both compared and printed. TypeName() returns the name
+// that is printed.
 
 #include <tuple>
 
--- a/src/libutil/hash_test.cc
+++ b/src/libutil/hash_test.cc
@@ -8,19 +8,19 @@
 
 TEST_GROUP(Hash){};
 
-TEST(Hash, RendezvousKeepsChoicesWhenAnotherNameLeaves) {
+TEST(Hash, RendezvousKeepsChoiceWhenAnotherNameIsRemoved) {
   const std::vector<std::string> all = {"a", "b", "c", "d", "e"};
   for (int key = 0; key < 200; ++key) {
     const std::string text = std::to_string(key);
     const std::string before = RendezvousChoose(all, text, 1).front();
-    std::vector<std::string> fewer = all;
-    const std::string gone = before == "a" ? "b" : "a";
-    fewer.erase(std::find(fewer.begin(), fewer.end(), gone));
-    CHECK(RendezvousChoose(fewer, text, 1).front() == before);
+    std::vector<std::string> remaining = all;
+    const std::string removed = before == "a" ? "b" : "a";
+    remaining.erase(std::find(remaining.begin(), remaining.end(), removed));
+    CHECK(RendezvousChoose(remaining, text, 1).front() == before);
   }
 }
 
-TEST(Hash, RendezvousNeverChoosesMoreThanThereAre) {
+TEST(Hash, RendezvousChoosesAtMostAllNames) {
   CHECK_EQUAL(2u, RendezvousChoose({"a", "b"}, "k", 5).size());
   CHECK_EQUAL(0u, RendezvousChoose({}, "k", 5).size());
 }
--- a/src/libutil/http.cc
+++ b/src/libutil/http.cc
@@ -7,7 +7,7 @@
 namespace amaranth {
 namespace {
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsIgnoringCase(std::string_view a, std::string_view b) {
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
@@ -24,7 +24,7 @@
 std::string_view FindHeader(const std::vector<Header>& headers,
                             std::string_view name) {
   for (const Header& header : headers) {
-    if (SameName(header.name, name)) return header.value;
+    if (EqualsIgnoringCase(header.name, name)) return header.value;
   }
   return {};
 }
@@ -32,7 +32,7 @@
 void RemoveHeader(std::vector<Header>& headers, std::string_view name) {
   headers.erase(std::remove_if(headers.begin(), headers.end(),
                                [&](const Header& header) {
-                                 return SameName(header.name, name);
+                                 return EqualsIgnoringCase(header.name, name);
                                }),
                 headers.end());
 }
--- a/src/libutil/parse_number.h
+++ b/src/libutil/parse_number.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBUTIL_PARSE_NUMBER_H_
 #define AMARANTHROUTE_LIBUTIL_PARSE_NUMBER_H_
 
-// Numbers in text from outside.
+// Parses numbers in untrusted text.
 
 #include <charconv>
 #include <optional>
@@ -11,8 +11,9 @@
 
 namespace amaranth::pvt {
 
-// The number that the whole text stands for; nothing if there is anything else
-// in it, or if `Number` cannot hold it. `base` is for whole numbers.
+// Returns the number that `text` represents, or nullopt if `text` contains
+// anything else or the number is out of the range of `Number`. `base` applies
+// to integers only.
 template <typename Number>
 std::optional<Number> ParseNumber(std::string_view text, int base = 10) {
   Number number = 0;
--- a/src/libutil/print.h
+++ b/src/libutil/print.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBUTIL_PRINT_H_
 #define AMARANTHROUTE_LIBUTIL_PRINT_H_
 
-// Prints any message, event or effect on one line, for logs, replay and failed
-// tests. Works from Fields() in fields.h.
+// Prints a message, event or effect on one line, for logs, replay and failed
+// tests. Based on Fields() in fields.h.
 
 #include <optional>
 #include <ostream>
--- a/src/libutil/shallow_json.h
+++ b/src/libutil/shallow_json.h
@@ -1,20 +1,20 @@
 #ifndef AMARANTHROUTE_LIBUTIL_SHALLOW_JSON_H_
 #define AMARANTHROUTE_LIBUTIL_SHALLOW_JSON_H_
 
-// JSON from outside: callers, operators, peers, the platform.
+// Parses untrusted JSON: from callers, operators, peers and the platform.
 
 #include <nlohmann/json.hpp>
 #include <string_view>
 
 namespace amaranth::pvt {
 
-// Nothing that we read is nested deeper.
+// Maximum nesting depth. None of the formats in use is nested deeper.
 inline constexpr int kMaxJsonDepth = 32;
 
-// The parsed text, or a discarded value if it is not JSON. A body of a million
-// opening brackets parses, but the library prints and compares values by
-// recursion and would overflow the stack, ending the process; what lies deeper
-// than any of our formats is therefore left out while parsing.
+// Returns the parsed text, or a discarded value if it is not JSON. Values
+// deeper than kMaxJsonDepth are dropped while parsing: the library parses a
+// body of a million opening brackets, but prints and compares values
+// recursively, which would overflow the stack and end the process.
 template <typename Json = nlohmann::json>
 Json ParseShallowJson(std::string_view text) {
   const typename Json::parser_callback_t shallow =
--- a/src/libutil/test_main.cc
+++ b/src/libutil/test_main.cc
@@ -1,8 +1,9 @@
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
-// CppUTest's leak detector counts rapidcheck's own statics as leaks and fails
-// tests that leak nothing. The asan preset looks for leaks instead.
+// Disables the leak detector of CppUTest: it reports static objects of
+// rapidcheck as leaks and fails tests that do not leak. The asan preset detects
+// leaks instead.
 int main(int argc, char** argv) {
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(argc, argv);
--- a/src/libutil/values_test.cc
+++ b/src/libutil/values_test.cc
@@ -9,7 +9,7 @@
 
 TEST_GROUP(Values){};
 
-TEST(Values, HeadersAreFoundWithoutCase) {
+TEST(Values, HeaderNamesAreCaseInsensitive) {
   std::vector<Header> headers = {{"Retry-After", "2"}};
   CHECK(FindHeader(headers, "retry-after") == "2");
   SetHeader(headers, "RETRY-AFTER", "3");
@@ -17,7 +17,7 @@
   CHECK(FindHeader(headers, "Retry-After") == "3");
 }
 
-TEST(Values, EffectsCompareByContent) {
+TEST(Values, EffectsCompareByValue) {
   const Effect one = AnswerCaller{7, HttpResponse{200, {}, Body("whole")}};
   const Effect same = AnswerCaller{7, HttpResponse{200, {}, Body("whole")}};
   const Effect other = AnswerCaller{8, HttpResponse{200, {}, Body("whole")}};
