--- a/src/include/amaranthroute/verdict.h
+++ b/src/include/amaranthroute/verdict.h
@@ -29,7 +29,7 @@
   kBadRequest,        ///< malformed headers, body or context; invalid key
   kUnknownService,    ///< no backend server has announced this service
   kNoServer,          ///< known service, but no usable backend server now
-  kShedAtEntry,       ///< shed by the entry node: threshold, window or servers
+  kShedAtEntry,       ///< shed by the entry node before the first attempt
   kShedAtServer,      ///< level below the shedding threshold of the server
   kQueueFull,         ///< no room in the queue of the serving node
   kDeadline,          ///< the deadline has passed or cannot be met
