--- a/src/libwire/check.cc
+++ b/src/libwire/check.cc
@@ -8,14 +8,15 @@
 constexpr int kMinStatus = 100;
 constexpr int kMaxStatus = 999;
 
-// A line break inside a header field would let one caller's value add fields,
-// or a whole second request, on a connection to a backend server.
+// Rejects CR, LF and NUL. A line break inside a header field would let a
+// caller's value inject header fields, or a whole second request, into a
+// connection to a backend server.
 bool IsOneLine(std::string_view text) {
   constexpr std::string_view kBreaks("\r\n\0", 3);
   return text.find_first_of(kBreaks) == std::string_view::npos;
 }
 
-bool IsHeaderList(const std::vector<Header>& headers) {
+bool IsValidHeaderList(const std::vector<Header>& headers) {
   return headers.size() <= kMaxListElements &&
          std::all_of(headers.begin(), headers.end(), [](const Header& header) {
            return !header.name.empty() && IsOneLine(header.name) &&
@@ -23,16 +24,16 @@
          });
 }
 
-Outcome<void> Refuse(const char* what) {
+Outcome<void> Invalid(const char* what) {
   return Error{ErrorCode::kInvalid, what};
 }
 
 Outcome<void> CheckRequest(const HttpRequest& request) {
   if (!IsOneLine(request.method) || !IsOneLine(request.target)) {
-    return Refuse("line break in method or target");
+    return Invalid("request method or target contains CR, LF or NUL");
   }
-  if (!IsHeaderList(request.headers)) {
-    return Refuse("bad request header field");
+  if (!IsValidHeaderList(request.headers)) {
+    return Invalid("too many request header fields, or an invalid one");
   }
   return boost::outcome_v2::success();
 }
@@ -48,17 +49,17 @@
 Outcome<void> Check(const CallAnswer& message) {
   const HttpResponse& response = message.response;
   if (response.status < kMinStatus || response.status > kMaxStatus) {
-    return Refuse("status out of range");
+    return Invalid("response status is not in 100 to 999");
   }
-  if (!IsHeaderList(response.headers)) {
-    return Refuse("bad response header field");
+  if (!IsValidHeaderList(response.headers)) {
+    return Invalid("too many response header fields, or an invalid one");
   }
   return boost::outcome_v2::success();
 }
 
 Outcome<void> CheckListSize(size_t size) {
   if (size > static_cast<size_t>(kMaxListElements)) {
-    return Refuse("list too long");
+    return Invalid("list exceeds the element limit");
   }
   return boost::outcome_v2::success();
 }
@@ -81,7 +82,7 @@
     all += member.servers.size();
   }
   if (all > static_cast<size_t>(kMaxMessageElements)) {
-    return Refuse("too many list elements");
+    return Invalid("message exceeds the limit on list elements in total");
   }
   return CheckListSize(longest);
 }
--- a/src/libwire/codec.cc
+++ b/src/libwire/codec.cc
@@ -18,75 +18,76 @@
 using Compact = TCompactProtocolT<TMemoryBuffer>;
 using wire::MessageKind;
 
-// Deeper than any struct of ours; unknown fields are skipped by recursion.
+// Nesting limit for decoding, deeper than any message needs. Thrift skips
+// unknown fields by recursion, so unlimited nesting could exhaust the stack.
 constexpr int kMaxNesting = 16;
 
-// Which wire struct carries an alternative, and its number in the envelope.
+// The Thrift struct that encodes a message, and its kind in the envelope.
 template <typename Message>
-struct Carrier;
+struct WireTraits;
 
 template <>
-struct Carrier<Hello> {
+struct WireTraits<Hello> {
   using Type = wire::Hello;
   static constexpr int32_t kKind = MessageKind::HELLO;
 };
 template <>
-struct Carrier<CallForward> {
+struct WireTraits<CallForward> {
   using Type = wire::CallForward;
   static constexpr int32_t kKind = MessageKind::CALL_FORWARD;
 };
 template <>
-struct Carrier<CallAnswer> {
+struct WireTraits<CallAnswer> {
   using Type = wire::CallAnswer;
   static constexpr int32_t kKind = MessageKind::CALL_ANSWER;
 };
 template <>
-struct Carrier<CallCancel> {
+struct WireTraits<CallCancel> {
   using Type = wire::CallCancel;
   static constexpr int32_t kKind = MessageKind::CALL_CANCEL;
 };
 template <>
-struct Carrier<HomeForward> {
+struct WireTraits<HomeForward> {
   using Type = wire::HomeForward;
   static constexpr int32_t kKind = MessageKind::HOME_FORWARD;
 };
 template <>
-struct Carrier<LinkPing> {
+struct WireTraits<LinkPing> {
   using Type = wire::LinkPing;
   static constexpr int32_t kKind = MessageKind::LINK_PING;
 };
 template <>
-struct Carrier<LinkPong> {
+struct WireTraits<LinkPong> {
   using Type = wire::LinkPong;
   static constexpr int32_t kKind = MessageKind::LINK_PONG;
 };
 template <>
-struct Carrier<SettingsRequest> {
+struct WireTraits<SettingsRequest> {
   using Type = wire::SettingsRequest;
   static constexpr int32_t kKind = MessageKind::SETTINGS_REQUEST;
 };
 template <>
-struct Carrier<SettingsSnapshot> {
+struct WireTraits<SettingsSnapshot> {
   using Type = wire::SettingsSnapshot;
   static constexpr int32_t kKind = MessageKind::SETTINGS_SNAPSHOT;
 };
 template <>
-struct Carrier<ClaimRequest> {
+struct WireTraits<ClaimRequest> {
   using Type = wire::ClaimRequest;
   static constexpr int32_t kKind = MessageKind::CLAIM_REQUEST;
 };
 template <>
-struct Carrier<ClaimReply> {
+struct WireTraits<ClaimReply> {
   using Type = wire::ClaimReply;
   static constexpr int32_t kKind = MessageKind::CLAIM_REPLY;
 };
 template <>
-struct Carrier<MemberSync> {
+struct WireTraits<MemberSync> {
   using Type = wire::MemberSync;
   static constexpr int32_t kKind = MessageKind::MEMBER_SYNC;
 };
 template <>
-struct Carrier<GossipMessage> {
+struct WireTraits<GossipMessage> {
   using Type = wire::Gossip;
   static constexpr int32_t kKind = MessageKind::GOSSIP;
 };
@@ -107,47 +108,48 @@
 std::string Encode(const Message& message) {
   wire::Envelope envelope;
   envelope.version = kProtocolVersion;
-  envelope.kind = Carrier<Message>::kKind;
-  typename Carrier<Message>::Type carrier;
-  pvt::ToWire(message, carrier);
+  envelope.kind = WireTraits<Message>::kKind;
+  typename WireTraits<Message>::Type wire_message;
+  pvt::ToWire(message, wire_message);
   auto buffer = std::make_shared<TMemoryBuffer>(Limits());
   Compact protocol(buffer);
   envelope.write(&protocol);
-  carrier.write(&protocol);
+  wire_message.write(&protocol);
   return buffer->getBufferAsString();
 }
 
-// Thrift limits each list; many short lists of large structs would still take
-// twenty times the payload's own size.
-class BudgetProtocol : public Compact {
+// Limits the elements of all lists of one message together. Thrift limits each
+// list on its own; many short lists of large structs could still take twenty
+// times the size of the payload in memory.
+class LimitedProtocol : public Compact {
  public:
   using Compact::Compact;
 
   uint32_t readListBegin_virt(TType& element_type, uint32_t& size) override {
     const uint32_t read = Compact::readListBegin(element_type, size);
-    if (size > left_) {
+    if (size > remaining_elements_) {
       throw TProtocolException(TProtocolException::SIZE_LIMIT);
     }
-    left_ -= size;
+    remaining_elements_ -= size;
     return read;
   }
 
  private:
-  uint32_t left_ = kMaxMessageElements;
+  uint32_t remaining_elements_ = kMaxMessageElements;
 };
 
-// Reads one payload. Thrift throws on bad bytes; the callers below catch.
+// Decodes one payload. Thrift throws on malformed bytes; DecodeGuarded catches.
 class Decoder {
  public:
   explicit Decoder(std::string_view payload)
-      // Thrift takes a writable pointer, but an observing buffer never writes.
+      // Thrift takes a mutable pointer, but an OBSERVE buffer never writes.
       : buffer_(std::make_shared<TMemoryBuffer>(
             reinterpret_cast<uint8_t*>(const_cast<char*>(payload.data())),
             static_cast<uint32_t>(payload.size()), TMemoryBuffer::OBSERVE,
             Limits())),
-        // A string is never longer than its payload, and each element of a
-        // list takes a byte at least: so a length is refused before anything
-        // is allocated for it.
+        // No string is longer than its payload, and each list element takes
+        // at least one byte. With these limits an invalid length is rejected
+        // before anything is allocated for it.
         protocol_(
             buffer_, static_cast<int32_t>(payload.size()),
             std::min(static_cast<int32_t>(payload.size()), kMaxListElements)) {}
@@ -156,21 +158,22 @@
     wire::Envelope envelope;
     envelope.read(&protocol_);
     if (envelope.version != kProtocolVersion) {
-      return Invalid("protocol version " + std::to_string(envelope.version));
+      return Invalid("unsupported protocol version " +
+                     std::to_string(envelope.version));
     }
     return envelope.kind;
   }
 
   template <typename Message>
   Outcome<Message> ReadBody() {
-    typename Carrier<Message>::Type carrier;
-    carrier.read(&protocol_);
+    typename WireTraits<Message>::Type wire_message;
+    wire_message.read(&protocol_);
     if (buffer_->available_read() != 0) {
-      return Invalid("bytes after the message");
+      return Invalid("trailing bytes after the message");
     }
     Message message;
     pvt::RangeCheck check;
-    pvt::FromWire(carrier, message, check);
+    pvt::FromWire(wire_message, message, check);
     if (!check.ok()) {
       return Invalid(check.problem());
     }
@@ -179,17 +182,17 @@
 
  private:
   std::shared_ptr<TMemoryBuffer> buffer_;
-  BudgetProtocol protocol_;
+  LimitedProtocol protocol_;
 };
 
-// Tries the alternatives of PeerMessage in turn.
+// Decodes the body as the alternative of PeerMessage that has this kind.
 template <size_t index = 0>
 Outcome<PeerMessage> ReadPeerBody(Decoder& decoder, int32_t kind) {
   if constexpr (index == std::variant_size_v<PeerMessage>) {
-    return Invalid("message kind " + std::to_string(kind));
+    return Invalid("unknown peer message kind " + std::to_string(kind));
   } else {
     using Message = std::variant_alternative_t<index, PeerMessage>;
-    if (kind != Carrier<Message>::kKind) {
+    if (kind != WireTraits<Message>::kKind) {
       return ReadPeerBody<index + 1>(decoder, kind);
     }
     Outcome<Message> message = decoder.ReadBody<Message>();
@@ -223,21 +226,25 @@
   if (!kind) {
     return kind.error();
   }
-  if (kind.value() != Carrier<GossipMessage>::kKind) {
-    return Invalid("message kind " + std::to_string(kind.value()));
+  if (kind.value() != WireTraits<GossipMessage>::kKind) {
+    return Invalid("not a gossip message: kind " +
+                   std::to_string(kind.value()));
   }
   return decoder.ReadBody<GossipMessage>();
 }
 
-// An empty payload would mean "no limit" to Thrift.
+// Calls `read` on a payload of valid size and turns its exceptions into errors.
+// Rejects an empty payload, because Thrift takes a size limit of 0 as no limit.
 template <typename Read>
-auto Guarded(std::string_view payload, Read read) -> decltype(read(payload)) {
+auto DecodeGuarded(std::string_view payload, Read read)
+    -> decltype(read(payload)) {
   if (payload.empty()) {
     return Invalid("empty message");
   }
   if (payload.size() > kMaxFrameBytes) {
-    return Error{ErrorCode::kTooLarge,
-                 "message of " + std::to_string(payload.size()) + " bytes"};
+    return Error{ErrorCode::kTooLarge, "message of " +
+                                           std::to_string(payload.size()) +
+                                           " bytes exceeds the size limit"};
   }
   try {
     return read(payload);
@@ -253,7 +260,7 @@
 }
 
 Outcome<PeerMessage> DecodePeerMessage(std::string_view payload) {
-  return Guarded(payload, ReadPeer);
+  return DecodeGuarded(payload, ReadPeer);
 }
 
 std::string EncodeGossip(const GossipMessage& message) {
@@ -261,7 +268,7 @@
 }
 
 Outcome<GossipMessage> DecodeGossip(std::string_view payload) {
-  return Guarded(payload, ReadGossip);
+  return DecodeGuarded(payload, ReadGossip);
 }
 
 }  // namespace amaranth
--- a/src/libwire/convert.h
+++ b/src/libwire/convert.h
@@ -1,8 +1,11 @@
 #ifndef AMARANTHROUTE_LIBWIRE_CONVERT_H_
 #define AMARANTHROUTE_LIBWIRE_CONVERT_H_
 
-// Between our value types and the generated Thrift structs. Towards the wire
-// everything fits; from the wire every field is checked against its range.
+// Conversions between the message types and the generated Thrift structs.
+// Every value fits its field on the wire; ToWire clamps durations to
+// [0, kMaxWireDuration]. FromWire checks the range of every narrower number,
+// enum and duration. QuarantineRecord::remaining is the exception: it is copied
+// unchanged in both directions.
 
 #include <cstdint>
 #include <limits>
@@ -14,8 +17,8 @@
 
 namespace amaranth::pvt {
 
-// Takes numbers from the wire into narrower types. The first one out of range
-// fails the whole message; later ones are then of no interest.
+// Converts numbers from the wire to narrower types. One value out of range
+// makes the whole message invalid; only the first is reported.
 class RangeCheck {
  public:
   template <typename To, typename From>
@@ -23,13 +26,13 @@
     const bool fits =
         value >= 0 && static_cast<uint64_t>(value) <=
                           static_cast<uint64_t>(std::numeric_limits<To>::max());
-    return fits ? static_cast<To>(value) : Refuse<To>(field);
+    return fits ? static_cast<To>(value) : Reject<To>(field);
   }
 
   template <typename Enum>
   Enum ToEnum(int32_t value, Enum last, std::string_view field) {
     const bool known = value >= 0 && value <= static_cast<int32_t>(last);
-    return known ? static_cast<Enum>(value) : Refuse<Enum>(field);
+    return known ? static_cast<Enum>(value) : Reject<Enum>(field);
   }
 
   Duration ToDuration(int64_t micros, std::string_view field);
@@ -39,9 +42,9 @@
 
  private:
   template <typename T>
-  T Refuse(std::string_view field) {
+  T Reject(std::string_view field) {
     if (problem_.empty()) {
-      problem_ = "out of range: " + std::string(field);
+      problem_ = "field out of range: " + std::string(field);
     }
     return T{};
   }
@@ -63,7 +66,7 @@
 void ToWire(const MemberSync& in, wire::MemberSync& out);
 void ToWire(const GossipMessage& in, wire::Gossip& out);
 
-// `in` is used up: strings are moved out of it.
+// FromWire moves strings out of `in`, which must not be used afterwards.
 void FromWire(wire::Hello& in, Hello& out, RangeCheck& check);
 void FromWire(wire::CallForward& in, CallForward& out, RangeCheck& check);
 void FromWire(wire::CallAnswer& in, CallAnswer& out, RangeCheck& check);
--- a/src/libwire/frame.cc
+++ b/src/libwire/frame.cc
@@ -4,8 +4,10 @@
 namespace {
 
 constexpr size_t kPrefixBytes = 4;
-// A returned frame's bytes are dropped once this much has gathered, so that a
-// burst of small frames is not moved down once for each of them.
+// Consumed bytes at the front of a buffer that holds an incomplete frame are
+// erased only from this size on, so that a burst of small frames does not move
+// the rest of the buffer each time. An empty buffer with a larger capacity is
+// freed.
 constexpr size_t kCompactBytes = 64u << 10;
 
 size_t ReadLength(const char* bytes) {
@@ -37,8 +39,9 @@
   }
   const size_t length = ReadLength(buffer_.data() + start_);
   if (length > max_payload_) {
-    return Error{ErrorCode::kTooLarge, "frame of " + std::to_string(length) +
-                                           " bytes, at most " +
+    return Error{ErrorCode::kTooLarge, "frame payload of " +
+                                           std::to_string(length) +
+                                           " bytes exceeds the limit of " +
                                            std::to_string(max_payload_)};
   }
   if (buffered() < kPrefixBytes + length) {
@@ -54,7 +57,7 @@
   if (start_ == buffer_.size()) {
     buffer_.clear();
     start_ = 0;
-    // The largest frame so far must not stay allocated on an idle link.
+    // Otherwise an idle link would keep the memory of its largest frame.
     if (buffer_.capacity() > kCompactBytes) {
       buffer_.shrink_to_fit();
     }
--- a/src/libwire/from_wire.cc
+++ b/src/libwire/from_wire.cc
@@ -7,7 +7,7 @@
 
 Duration RangeCheck::ToDuration(int64_t micros, std::string_view field) {
   const bool fits = micros >= 0 && micros <= kMaxWireDuration.count();
-  return fits ? Duration(micros) : Refuse<Duration>(field);
+  return fits ? Duration(micros) : Reject<Duration>(field);
 }
 
 namespace {
--- a/src/libwire/generators.h
+++ b/src/libwire/generators.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBWIRE_GENERATORS_H_
 #define AMARANTHROUTE_LIBWIRE_GENERATORS_H_
 
-// rapidcheck generators for every message, for tests only. They stay inside
-// what CheckPeerMessage takes.
+// rapidcheck generators for every message, for tests only. CheckPeerMessage
+// accepts every generated peer message.
 
 #include <rapidcheck.h>
 
--- a/src/libwire/generators_test.cc
+++ b/src/libwire/generators_test.cc
@@ -29,7 +29,7 @@
 template <typename Make>
 auto AnyList(Make make) -> std::vector<decltype(make())> {
   std::vector<decltype(make())> list;
-  for (int left = *rc::gen::inRange(0, 4); left > 0; --left) {
+  for (int count = *rc::gen::inRange(0, 4); count > 0; --count) {
     list.push_back(make());
   }
   return list;
--- a/src/libwire/to_wire.cc
+++ b/src/libwire/to_wire.cc
@@ -9,10 +9,10 @@
 namespace amaranth::pvt {
 namespace {
 
-// A member added to a message and forgotten here would arrive as its default,
-// which no round trip of old members shows: so the count is checked, and the
-// one who raises it also adds the member to amaranth.thrift, to ToWire, to
-// FromWire and to the generators.
+// A new member that is not converted would arrive with its default value, and a
+// round-trip test of the other members would not show it. So the number of
+// members is checked: whoever raises a number below must also add the member to
+// amaranth.thrift, ToWire, FromWire and the generators.
 template <typename Message, size_t count>
 constexpr bool kHasFields =
     std::tuple_size_v<decltype(Fields(std::declval<const Message&>()))> ==
@@ -43,11 +43,11 @@
 int64_t Signed(uint64_t value) { return static_cast<int64_t>(value); }
 
 template <typename Enum>
-int32_t Number(Enum value) {
+int32_t ToNumber(Enum value) {
   return static_cast<int32_t>(value);
 }
 
-int64_t Micros(Duration duration) {
+int64_t ClampedMicros(Duration duration) {
   return std::clamp(duration, Duration(0), kMaxWireDuration).count();
 }
 
@@ -83,9 +83,9 @@
 }
 
 void ToWire(const Failure& in, wire::Failure& out) {
-  out.verdict = Number(in.verdict);
-  out.reason = Number(in.reason);
-  out.retry_after_us = Micros(in.retry_after);
+  out.verdict = ToNumber(in.verdict);
+  out.reason = ToNumber(in.reason);
+  out.retry_after_us = ClampedMicros(in.retry_after);
   out.is_final = in.final;
   out.detail = in.detail;
 }
@@ -97,11 +97,11 @@
   out.request_class = in.request_class;
   out.tenant = in.tenant;
   out.caller_key = in.caller_key;
-  out.tier = Number(in.tier);
+  out.tier = ToNumber(in.tier);
   out.idempotent = in.idempotent;
   out.long_work = in.long_work;
   out.depth = in.depth;
-  out.remaining_us = Micros(in.remaining);
+  out.remaining_us = ClampedMicros(in.remaining);
   out.retry_credits = in.retry_credits;
   out.fingerprint = Signed(in.fingerprint);
   out.suspected_crashes = in.suspected_crashes;
@@ -144,7 +144,7 @@
 void ToWire(const MemberRecord& in, wire::MemberRecord& out) {
   ToWire(in.node, out.node);
   out.version = Signed(in.version);
-  out.state = Number(in.state);
+  out.state = ToNumber(in.state);
   out.data_centre = in.data_centre;
   out.region = in.region;
   ToWire(in.peer_address, out.peer_address);
@@ -207,7 +207,7 @@
   out.attempt = Signed(in.attempt);
   out.home_incarnation = Signed(in.home_incarnation);
   ToWire(in.request, out.request);
-  out.remaining_us = Micros(in.remaining);
+  out.remaining_us = ClampedMicros(in.remaining);
 }
 
 void ToWire(const LinkPing& in, wire::LinkPing& out) {
@@ -246,7 +246,7 @@
 }
 
 void ToWire(const GossipMessage& in, wire::Gossip& out) {
-  out.kind = Number(in.kind);
+  out.kind = ToNumber(in.kind);
   ToWire(in.from, out.source);
   ToWire(in.from_address, out.source_address);
   out.sequence = Signed(in.sequence);
@@ -255,7 +255,7 @@
   out.settings_version = Signed(in.settings_version);
   out.membership_hash = Signed(in.membership_hash);
   if (in.settings_confirmed) {
-    out.__set_settings_confirmed_us(Micros(*in.settings_confirmed));
+    out.__set_settings_confirmed_us(ClampedMicros(*in.settings_confirmed));
   }
   ToWireList(in.updates, out.updates);
   ToWireList(in.quarantines, out.quarantines);
--- a/src/libwire/wire_test.cc
+++ b/src/libwire/wire_test.cc
@@ -9,7 +9,7 @@
 namespace amaranth {
 namespace {
 
-CallAnswer SomeAnswer() {
+CallAnswer SampleAnswer() {
   CallAnswer answer;
   answer.attempt = 7;
   answer.response = HttpResponse{200, {{"Content-Type", "text/plain"}}, {}};
@@ -21,8 +21,8 @@
   return static_cast<bool>(DecodePeerMessage(EncodePeerMessage(message)));
 }
 
-// A Hello whose kind or version was replaced; both are one-byte numbers, each
-// behind the byte of its field.
+// Returns an encoded Hello with the given version and kind. In the envelope
+// each is one byte, after the byte of its field header.
 std::string HelloWithEnvelope(char version, char kind) {
   std::string payload = EncodePeerMessage(Hello{{"n1", 1}, "fleet", "dc1"});
   payload[1] = version;
@@ -36,27 +36,27 @@
 
 TEST_GROUP(Wire){};
 
-TEST(Wire, EveryPeerMessageComesBackEqual) {
+TEST(Wire, PeerMessagesRoundTrip) {
   CHECK(rc::check([](const PeerMessage& message) {
     RC_ASSERT(static_cast<bool>(CheckPeerMessage(message)));
-    const Outcome<PeerMessage> back =
+    const Outcome<PeerMessage> decoded =
         DecodePeerMessage(EncodePeerMessage(message));
-    RC_ASSERT(static_cast<bool>(back));
-    RC_ASSERT(back.value() == message);
+    RC_ASSERT(static_cast<bool>(decoded));
+    RC_ASSERT(decoded.value() == message);
   }));
 }
 
-TEST(Wire, EveryGossipMessageComesBackEqual) {
+TEST(Wire, GossipMessagesRoundTrip) {
   CHECK(rc::check([](const GossipMessage& message) {
-    const Outcome<GossipMessage> back = DecodeGossip(EncodeGossip(message));
-    RC_ASSERT(static_cast<bool>(back));
-    RC_ASSERT(back.value() == message);
+    const Outcome<GossipMessage> decoded = DecodeGossip(EncodeGossip(message));
+    RC_ASSERT(static_cast<bool>(decoded));
+    RC_ASSERT(decoded.value() == message);
   }));
 }
 
-// A sender dies or a link breaks within a message. The receiver must see an
-// error for every cut, never a message with the missing part left empty.
-TEST(Wire, TruncatedMessagesAreRefused) {
+// A sender can crash or a link can break in the middle of a message. Decoding
+// must then fail and never return a message with the missing part left empty.
+TEST(Wire, TruncatedMessagesAreRejected) {
   CHECK(rc::check([](const PeerMessage& message) {
     const std::string payload = EncodePeerMessage(message);
     const size_t cut = *rc::gen::inRange<size_t>(0, payload.size());
@@ -64,17 +64,18 @@
   }));
 }
 
-// Bits change on the way, or a peer is hostile. Whatever decodes is then a
-// message that could also have been sent; nothing throws or reads past the end.
-TEST(Wire, ChangedBytesGiveAnErrorOrASendableMessage) {
+// Bytes can be corrupted in transit, or a peer can be hostile. Decoding must
+// not throw or read past the end, and a message that decodes must be a valid
+// one.
+TEST(Wire, CorruptedBytesGiveErrorOrValidMessage) {
   CHECK(rc::check([](const PeerMessage& message) {
     std::string payload = EncodePeerMessage(message);
-    const size_t at = *rc::gen::inRange<size_t>(0, payload.size());
-    payload[at] = *rc::gen::arbitrary<char>();
-    const Outcome<PeerMessage> back = DecodePeerMessage(payload);
-    if (back) {
-      RC_ASSERT(static_cast<bool>(CheckPeerMessage(back.value())));
-      RC_ASSERT(Decodes(back.value()));
+    const size_t offset = *rc::gen::inRange<size_t>(0, payload.size());
+    payload[offset] = *rc::gen::arbitrary<char>();
+    const Outcome<PeerMessage> decoded = DecodePeerMessage(payload);
+    if (decoded) {
+      RC_ASSERT(static_cast<bool>(CheckPeerMessage(decoded.value())));
+      RC_ASSERT(Decodes(decoded.value()));
     }
   }));
 }
@@ -86,7 +87,7 @@
   }));
 }
 
-TEST(Wire, OtherVersionsAndKindsAreRefused) {
+TEST(Wire, UnsupportedVersionsAndKindsAreRejected) {
   CHECK(DecodePeerMessage(HelloWithEnvelope(Zigzag(1), Zigzag(1))).has_value());
   CHECK(!DecodePeerMessage(HelloWithEnvelope(Zigzag(2), Zigzag(1))));
   CHECK(!DecodePeerMessage(HelloWithEnvelope(Zigzag(1), Zigzag(0))));
@@ -96,12 +97,12 @@
   CHECK(!DecodePeerMessage(EncodeGossip(GossipMessage())));
 }
 
-TEST(Wire, BytesAfterAMessageAreRefused) {
+TEST(Wire, TrailingBytesAreRejected) {
   CHECK(!DecodePeerMessage(EncodePeerMessage(LinkPing{1}) + '\0'));
 }
 
-TEST(Wire, UnknownEnumValuesAreRefused) {
-  CallAnswer answer = SomeAnswer();
+TEST(Wire, UnknownEnumValuesAreRejected) {
+  CallAnswer answer = SampleAnswer();
   CHECK(Decodes(answer));
   answer.failure.reason = static_cast<Reason>(99);
   CHECK(!Decodes(answer));
@@ -110,48 +111,49 @@
   CHECK(!Decodes(forward));
 }
 
-// A value with a line break in it would reach a backend server as two header
-// fields. The sender finds out before it is queued, the receiver refuses it.
-TEST(Wire, LineBreaksInHeadersAreRefusedOnBothSides) {
-  for (const char* bad : {"a\r\nX: y", "a\nb", "a\rb"}) {
-    CallAnswer answer = SomeAnswer();
-    answer.response.headers[0].value = bad;
+// A value with a line break would reach a backend server as two header fields.
+// The sender must detect it before queueing, and the receiver must reject it.
+TEST(Wire, LineBreaksAreRejectedBySenderAndReceiver) {
+  for (const char* invalid : {"a\r\nX: y", "a\nb", "a\rb"}) {
+    CallAnswer answer = SampleAnswer();
+    answer.response.headers[0].value = invalid;
     CHECK(!CheckPeerMessage(answer));
     CHECK(!Decodes(answer));
     CallForward forward;
-    forward.request.target = bad;
+    forward.request.target = invalid;
     CHECK(!CheckPeerMessage(forward));
     CHECK(!Decodes(forward));
   }
 }
 
-TEST(Wire, DurationsAreClampedBySender) {
+TEST(Wire, DurationsAreClampedOnEncoding) {
   HomeForward forward;
   forward.remaining = Duration(-5);
-  const Outcome<PeerMessage> late =
+  const Outcome<PeerMessage> negative =
       DecodePeerMessage(EncodePeerMessage(forward));
-  CHECK(late.has_value());
-  CHECK(std::get<HomeForward>(late.value()).remaining == Duration(0));
+  CHECK(negative.has_value());
+  CHECK(std::get<HomeForward>(negative.value()).remaining == Duration(0));
   forward.remaining = Duration(std::numeric_limits<int64_t>::max());
-  const Outcome<PeerMessage> far =
+  const Outcome<PeerMessage> overlong =
       DecodePeerMessage(EncodePeerMessage(forward));
-  CHECK(far.has_value());
-  CHECK(std::get<HomeForward>(far.value()).remaining == kMaxWireDuration);
+  CHECK(overlong.has_value());
+  CHECK(std::get<HomeForward>(overlong.value()).remaining == kMaxWireDuration);
 }
 
-// A few bytes say that a list of millions follows. Decoding must refuse before
-// it makes room for it, or a datagram could take the node's memory.
-TEST(Wire, ListLengthsAreRefusedBeforeAllocation) {
+// A few bytes can announce a list of millions of elements. Decoding must reject
+// it before allocating, or one datagram could exhaust the node's memory.
+TEST(Wire, ListLengthsAreRejectedBeforeAllocation) {
   std::string payload = EncodePeerMessage(ClaimReply{});
-  // The last three bytes: list field, its header (no elements), end of struct.
+  // The last three bytes are the list's field header, the list header (no
+  // elements) and the end of the struct. The last two are replaced.
   payload.resize(payload.size() - 2);
-  payload += "\xfc\xff\xff\xff\x07";  // structs, 16,777,215 of them
+  payload += "\xfc\xff\xff\xff\x07";  // a list of 16,777,215 structs
   CHECK(!DecodePeerMessage(payload));
 }
 
-// Lists within their own limit may still be many: 17 MB of servers would take
-// twenty times that in memory.
-TEST(Wire, ElementsOfAllListsAreLimitedTogether) {
+// Many lists, each within its own limit, can still exhaust memory: 17 MB of
+// encoded servers would take twenty times that once decoded.
+TEST(Wire, TotalOfListElementsIsLimited) {
   MemberSync sync;
   MemberRecord member;
   member.servers.resize(kMaxListElements - 1);
@@ -165,23 +167,23 @@
 
 TEST_GROUP(Frames){};
 
-TEST(Frames, AnyCutOfTheStreamGivesTheSamePayloads) {
+TEST(Frames, PayloadsDoNotDependOnHowTheStreamIsSplit) {
   CHECK(rc::check([](const std::vector<std::string>& payloads) {
     std::string stream;
     for (const std::string& payload : payloads) {
       stream += Frame(payload);
     }
     FrameReader reader;
-    std::vector<std::string> got;
+    std::vector<std::string> received;
     while (!stream.empty()) {
       const size_t size = *rc::gen::inRange<size_t>(1, stream.size() + 1);
       reader.Append(std::string_view(stream).substr(0, size));
       stream.erase(0, size);
       while (std::optional<std::string> payload = reader.Next().value()) {
-        got.push_back(*payload);
+        received.push_back(*payload);
       }
     }
-    RC_ASSERT(got == payloads);
+    RC_ASSERT(received == payloads);
     RC_ASSERT(reader.buffered() == 0u);
   }));
 }
@@ -190,7 +192,7 @@
   CHECK(Frame("abc") == std::string("\0\0\0\3abc", 7));
 }
 
-TEST(Frames, OverlongFramesAreRefusedForGood) {
+TEST(Frames, OversizedFrameFailsTheStreamPermanently) {
   FrameReader reader(4);
   reader.Append(Frame("abcd") + Frame("abcde"));
   CHECK(reader.Next().value() == std::string("abcd"));
