--- a/src/libplatform/claim_run.cc
+++ b/src/libplatform/claim_run.cc
@@ -6,56 +6,57 @@
 namespace amaranth::pvt {
 namespace {
 
-// Calls in a row that may bring no row's holder before the request is given
-// up on. A lost insert and its read-back are two; more than two such pairs in
-// a row mean an outage, in which more calls only delay the caller's answer.
-constexpr int kMaxFruitlessCalls = 4;
+// No insert is sent after this many consecutive calls that determined no row's
+// holder. A lost insert and its read-back count as two calls; two such pairs in
+// a row indicate an outage, in which more calls only delay the caller's answer.
+constexpr int kMaxCallsWithoutProgress = 4;
 
 }  // namespace
 
-ClaimRun::ClaimRun(std::shared_ptr<PlatformLink> link,
-                   const TableClaimRows& request, PlatformDone done)
+ClaimOperation::ClaimOperation(std::shared_ptr<PlatformLink> link,
+                               const TableClaimRows& request,
+                               PlatformCallback done)
     : link_(std::move(link)),
       request_(request),
       done_(std::move(done)),
-      give_up_at_(link_->Now() + link_->options().request_timeout) {}
+      deadline_(link_->Now() + link_->options().request_timeout) {}
 
-void ClaimRun::Next() {
-  rows_ = PickRows();
+void ClaimOperation::InsertRemaining() {
+  rows_ = SelectRows();
   if (rows_.empty()) {
     Finish(PlatformStatus::kOk);
     return;
   }
-  if (fruitless_calls_ >= kMaxFruitlessCalls || link_->Now() >= give_up_at_ ||
-      !link_->TakeWrites(rows_.size())) {
-    Finish(GaveUp());
+  if (calls_without_progress_ >= kMaxCallsWithoutProgress ||
+      link_->Now() >= deadline_ || !link_->TakeWrites(rows_.size())) {
+    Finish(FailureStatus());
     return;
   }
   Insert();
 }
 
-// A transaction must not name a row twice, so of two claims for one key the
-// first is made and both are told its holder.
-std::vector<TableClaimRows::Row> ClaimRun::PickRows() const {
+// A transaction must not contain a row twice. Of several claims for one key
+// only the first is inserted, and all of them are answered with its holder.
+std::vector<TableClaimRows::Row> ClaimOperation::SelectRows() const {
   std::vector<TableClaimRows::Row> rows;
-  std::set<std::string> picked;
+  std::set<std::string> selected;
   for (const TableClaimRows::Row& row : request_.rows) {
     if (rows.size() == kMaxRowsPerCall) break;
     if (holders_.count(row.key) > 0) continue;
-    if (picked.insert(row.key).second) rows.push_back(row);
+    if (selected.insert(row.key).second) rows.push_back(row);
   }
   return rows;
 }
 
-void ClaimRun::Insert() {
+void ClaimOperation::Insert() {
   std::vector<ConditionalPut> puts;
   for (const TableClaimRows::Row& row : rows_) {
     ConditionalPut put;
-    put.item.key = KeyOf(row.key);
+    put.item.key = RowKey(row.key);
     put.item.text = row.holder;
     puts.push_back(put);
   }
-  ++fruitless_calls_;
+  ++calls_without_progress_;
   link_->CallTable(
       TransactPutRequest(link_->options().table, puts),
       [self = shared_from_this()](const HttpClientResult& result) {
@@ -63,52 +64,52 @@
       });
 }
 
-void ClaimRun::OnInserted(const TransactAnswer& answer) {
+void ClaimOperation::OnInserted(const TransactAnswer& answer) {
   switch (answer.result) {
     case TableResult::kDone:
       may_have_written_ = true;
-      for (const TableClaimRows::Row& row : rows_) Know(row.key, row.holder);
-      Next();
+      for (const TableClaimRows::Row& row : rows_) Resolve(row.key, row.holder);
+      InsertRemaining();
       return;
     case TableResult::kCancelled:
       OnCancelled(answer.rows);
       return;
-    case TableResult::kLost:
+    case TableResult::kOutcomeUnknown:
       may_have_written_ = true;
       ReadBack();
       return;
     case TableResult::kRefused:
     case TableResult::kNotSent:
-      Finish(GaveUp());
+      Finish(FailureStatus());
       return;
   }
 }
 
-void ClaimRun::OnCancelled(const std::vector<CancelledRow>& rows) {
-  bool holder_missing = false;
+void ClaimOperation::OnCancelled(const std::vector<CancelledRow>& rows) {
+  bool holder_unknown = false;
   for (size_t i = 0; i < rows.size(); ++i) {
     if (rows[i].result != RowResult::kConditionFailed) continue;
-    if (rows[i].old_item) {
-      Know(rows_[i].key, rows[i].old_item->text);
+    if (rows[i].existing_item) {
+      Resolve(rows_[i].key, rows[i].existing_item->text);
     } else {
-      holder_missing = true;
+      holder_unknown = true;
     }
   }
-  if (holder_missing) {
+  if (holder_unknown) {
     ReadBack();
   } else {
-    Next();
+    InsertRemaining();
   }
 }
 
-void ClaimRun::ReadBack() {
-  if (link_->Now() >= give_up_at_ || !link_->TakeReads(rows_.size())) {
-    Finish(GaveUp());
+void ClaimOperation::ReadBack() {
+  if (link_->Now() >= deadline_ || !link_->TakeReads(rows_.size())) {
+    Finish(FailureStatus());
     return;
   }
   std::vector<TableKey> keys;
-  for (const TableClaimRows::Row& row : rows_) keys.push_back(KeyOf(row.key));
-  ++fruitless_calls_;
+  for (const TableClaimRows::Row& row : rows_) keys.push_back(RowKey(row.key));
+  ++calls_without_progress_;
   const std::string& table = link_->options().table;
   link_->CallTable(BatchGetRequest(table, keys),
                    [self = shared_from_this()](const HttpClientResult& result) {
@@ -117,31 +118,32 @@
                    });
 }
 
-void ClaimRun::OnReadBack(const ItemsAnswer& answer) {
+void ClaimOperation::OnReadBack(const ItemsAnswer& answer) {
   for (const TableItem& item : answer.items) {
     for (const TableClaimRows::Row& row : rows_) {
-      if (KeyOf(row.key) == item.key) Know(row.key, item.text);
+      if (RowKey(row.key) == item.key) Resolve(row.key, item.text);
     }
   }
-  Next();
+  InsertRemaining();
 }
 
-void ClaimRun::Know(const std::string& key, const std::string& holder) {
+void ClaimOperation::Resolve(const std::string& key,
+                             const std::string& holder) {
   holders_[key] = holder;
-  fruitless_calls_ = 0;
+  calls_without_progress_ = 0;
 }
 
-TableKey ClaimRun::KeyOf(const std::string& key) const {
+TableKey ClaimOperation::RowKey(const std::string& key) const {
   return {link_->options().fleet + "/claim/" + key, "row"};
 }
 
-PlatformStatus ClaimRun::GaveUp() const {
+PlatformStatus ClaimOperation::FailureStatus() const {
   return may_have_written_ ? PlatformStatus::kUnknown
                            : PlatformStatus::kUnreachable;
 }
 
-void ClaimRun::Finish(PlatformStatus status) {
-  PlatformReply reply = ReplyOf(status);
+void ClaimOperation::Finish(PlatformStatus status) {
+  PlatformReply reply = ReplyWithStatus(status);
   for (const TableClaimRows::Row& row : request_.rows) {
     const auto holder = holders_.find(row.key);
     reply.holders.push_back(holder == holders_.end() ? "" : holder->second);
--- a/src/libplatform/claim_run.h
+++ b/src/libplatform/claim_run.h
@@ -12,45 +12,50 @@
 
 namespace amaranth::pvt {
 
-// One TableClaimRows request, until the holder of every row is known.
+// Runs one TableClaimRows request until the holder of every row is known or the
+// request fails.
 //
-// What fails: an answer is lost after the transaction took effect, or somebody
-// else was first for some of the rows, which cancels the whole transaction.
-// Without care a caller would be told that its request was not run while its
-// key is held, or a single taken key would keep all others of its batch from
-// being claimed. So rows taken by others are dropped and the rest tried again,
-// and after a lost answer the rows are read back. A row that was not found
-// there is inserted again: should the lost write still land, one of the two
-// finds the row present and reports its holder, so both orders are safe.
-class ClaimRun : public std::enable_shared_from_this<ClaimRun> {
+// An answer can be lost after the transaction took effect, and a row that
+// another claim already holds cancels the whole transaction. If these cases
+// were not handled, a caller could be told that its request was not run
+// although its key is held, or one held key could keep all other keys of its
+// batch from being claimed. So rows held by others are dropped and the rest is
+// inserted again, and after a lost answer the rows are read back. A row that
+// the read-back does not find is inserted again. If the lost write takes effect
+// after all, whichever write comes second finds the row present and reports its
+// holder, so both orders are safe.
+class ClaimOperation : public std::enable_shared_from_this<ClaimOperation> {
  public:
-  ClaimRun(std::shared_ptr<PlatformLink> link, const TableClaimRows& request,
-           PlatformDone done);
+  ClaimOperation(std::shared_ptr<PlatformLink> link,
+                 const TableClaimRows& request, PlatformCallback done);
 
-  void Start() { Next(); }
+  void Start() { InsertRemaining(); }
 
  private:
-  void Next();
+  void InsertRemaining();
   void Insert();
   void OnInserted(const TransactAnswer& answer);
   void OnCancelled(const std::vector<CancelledRow>& rows);
   void ReadBack();
   void OnReadBack(const ItemsAnswer& answer);
 
-  // The rows of the current call: the first ones whose holder is not known.
-  std::vector<TableClaimRows::Row> PickRows() const;
-  void Know(const std::string& key, const std::string& holder);
-  TableKey KeyOf(const std::string& key) const;
-  PlatformStatus GaveUp() const;
+  // Returns the rows for the next transaction: the first ones, up to
+  // kMaxRowsPerCall, whose holder is not known yet.
+  std::vector<TableClaimRows::Row> SelectRows() const;
+  // Records the holder of a row, which counts as progress.
+  void Resolve(const std::string& key, const std::string& holder);
+  TableKey RowKey(const std::string& key) const;
+  // Returns the status of a request that ends without all holders known.
+  PlatformStatus FailureStatus() const;
   void Finish(PlatformStatus status);
 
   const std::shared_ptr<PlatformLink> link_;
   const TableClaimRows request_;
-  const PlatformDone done_;
-  const TimePoint give_up_at_;
-  std::vector<TableClaimRows::Row> rows_;  // of the current call
+  const PlatformCallback done_;
+  const TimePoint deadline_;
+  std::vector<TableClaimRows::Row> rows_;  // of the current transaction
   std::map<std::string, std::string> holders_;
-  int fruitless_calls_ = 0;
+  int calls_without_progress_ = 0;
   bool may_have_written_ = false;
 };
 
--- a/src/libplatform/object_store.cc
+++ b/src/libplatform/object_store.cc
@@ -11,12 +11,12 @@
 constexpr int kHttpPreconditionFailed = 412;
 
 std::string PercentEncoded(const std::string& name) {
-  static constexpr char kPlain[] =
+  static constexpr char kUnescaped[] =
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_.~/";
   static constexpr char kHex[] = "0123456789ABCDEF";
   std::string result;
   for (const char c : name) {
-    if (std::string_view(kPlain).find(c) != std::string_view::npos) {
+    if (std::string_view(kUnescaped).find(c) != std::string_view::npos) {
       result += c;
       continue;
     }
@@ -26,8 +26,9 @@
   return result;
 }
 
-// The status of a call that was not answered by the statuses it expects. A
-// client error was refused before any effect; a server error tells nothing.
+// Returns the status of a call that did not end with an HTTP status that its
+// operation expects. The call had no effect if no byte of it was sent or if it
+// was refused with a 4xx status; in every other case its outcome is unknown.
 PlatformStatus StatusOfFailure(const HttpClientResult& result) {
   if (!result.response) {
     return result.verdict == Verdict::kNotRun ? PlatformStatus::kUnreachable
@@ -45,7 +46,7 @@
     if (status == kHttpPreconditionFailed) {
       return PlatformStatus::kConditionFailed;
     }
-    // Another conditional put of the same name is under way.
+    // Another conditional put of the same name is in flight.
     if (status == kHttpConflict) return PlatformStatus::kUnreachable;
   }
   return StatusOfFailure(result);
@@ -75,9 +76,9 @@
                         name);
 }
 
-void ObjectStore::Put(const ObjectPut& put, PlatformDone done) {
+void ObjectStore::Put(const ObjectPut& put, PlatformCallback done) {
   if (!link_->TakeWrites(1)) {
-    done(ReplyOf(PlatformStatus::kUnreachable));
+    done(ReplyWithStatus(PlatformStatus::kUnreachable));
     return;
   }
   HttpRequest request;
@@ -88,13 +89,13 @@
   request.body = Body(put.bytes);
   link_->CallObjects(std::move(request),
                      [done = std::move(done)](const HttpClientResult& result) {
-                       done(ReplyOf(PutStatus(result)));
+                       done(ReplyWithStatus(PutStatus(result)));
                      });
 }
 
-void ObjectStore::Get(const ObjectGet& get, PlatformDone done) {
+void ObjectStore::Get(const ObjectGet& get, PlatformCallback done) {
   if (!link_->TakeReads(1)) {
-    done(ReplyOf(PlatformStatus::kUnreachable));
+    done(ReplyWithStatus(PlatformStatus::kUnreachable));
     return;
   }
   HttpRequest request;
--- a/src/libplatform/object_store.h
+++ b/src/libplatform/object_store.h
@@ -8,14 +8,15 @@
 
 namespace amaranth::pvt {
 
-// The object store's adapter: S3's REST protocol, path style.
+// Client of the object store: S3's REST protocol with path-style addressing.
 class ObjectStore {
  public:
   explicit ObjectStore(std::shared_ptr<PlatformLink> link);
 
-  // kConditionFailed if an object of that name is there, whatever it holds.
-  void Put(const ObjectPut& put, PlatformDone done);
-  void Get(const ObjectGet& get, PlatformDone done);
+  // Replies with kConditionFailed if an object of that name exists, whatever
+  // its content.
+  void Put(const ObjectPut& put, PlatformCallback done);
+  void Get(const ObjectGet& get, PlatformCallback done);
 
  private:
   std::string Target(const std::string& name) const;
--- a/src/libplatform/platform_client.cc
+++ b/src/libplatform/platform_client.cc
@@ -20,41 +20,42 @@
   explicit Impl(std::shared_ptr<pvt::PlatformLink> link)
       : table_(link), objects_(std::move(link)) {}
 
-  void Call(const PlatformRequest& request, pvt::PlatformDone done) {
+  void Call(const PlatformRequest& request, pvt::PlatformCallback done) {
     std::visit(
         [&](const auto& alternative) { Start(alternative, std::move(done)); },
         request);
   }
 
  private:
-  void Start(const TableClaimRows& request, pvt::PlatformDone done) {
+  void Start(const TableClaimRows& request, pvt::PlatformCallback done) {
     table_.Claim(request, std::move(done));
   }
-  void Start(const TableReadHead&, pvt::PlatformDone done) {
+  void Start(const TableReadHead&, pvt::PlatformCallback done) {
     table_.ReadHead(std::move(done));
   }
-  void Start(const TableMoveHead& request, pvt::PlatformDone done) {
+  void Start(const TableMoveHead& request, pvt::PlatformCallback done) {
     table_.MoveHead(request, std::move(done));
   }
-  void Start(const TableReadChange& request, pvt::PlatformDone done) {
+  void Start(const TableReadChange& request, pvt::PlatformCallback done) {
     table_.ReadChange(request, std::move(done));
   }
-  void Start(const TableReadPeers&, pvt::PlatformDone done) {
+  void Start(const TableReadPeers&, pvt::PlatformCallback done) {
     table_.ReadPeers(std::move(done));
   }
-  void Start(const TableWritePeer& request, pvt::PlatformDone done) {
+  void Start(const TableWritePeer& request, pvt::PlatformCallback done) {
     table_.WritePeer(request, std::move(done));
   }
-  void Start(const TableWatchSettings&, const pvt::PlatformDone& done) {
-    // Settings come from this table's head row, which nobody else writes.
+  void Start(const TableWatchSettings&, const pvt::PlatformCallback& done) {
+    // Not supported: with this table, settings change only through the head
+    // row, so there are no settings written outside the product to wait for.
     PlatformReply reply;
     reply.status = PlatformStatus::kUnreachable;
     done(std::move(reply));
   }
-  void Start(const ObjectPut& request, pvt::PlatformDone done) {
+  void Start(const ObjectPut& request, pvt::PlatformCallback done) {
     objects_.Put(request, std::move(done));
   }
-  void Start(const ObjectGet& request, pvt::PlatformDone done) {
+  void Start(const ObjectGet& request, pvt::PlatformCallback done) {
     objects_.Get(request, std::move(done));
   }
 
@@ -72,8 +73,8 @@
 
 PlatformClient::~PlatformClient() = default;
 
-// The reply reaches `done` only while the client lives: a late HTTP answer
-// must not call into an owner that is gone.
+// Calls `done` only while the client exists, because a late HTTP answer must
+// not call into an owner that has been destroyed.
 void PlatformClient::Call(const PlatformRequest& request,
                           std::function<void(PlatformReply)> done) {
   impl_->Call(request, [alive = std::weak_ptr<Impl>(impl_),
--- a/src/libplatform/platform_client_test.cc
+++ b/src/libplatform/platform_client_test.cc
@@ -12,82 +12,84 @@
 namespace amaranth {
 namespace {
 
-// What happens to one HTTP call on its way.
-enum class Fate {
+// How one HTTP call is delivered.
+enum class Delivery {
   kAnswered,
-  kAnswerLost,  // takes effect, then no word
-  kNeverSent,   // no connection
-  kSentLater,   // times out, and reaches the platform after the next call
+  kAnswerLost,  // takes effect, and the answer is lost
+  kNotSent,     // no connection could be made
+  kDelayed,     // times out, takes effect after the next call
 };
 
-// The platform's model behind an HttpCall that follows a script of fates; once
-// the script is used up, calls are answered. Time passes with each call.
+// Runs the platform model behind an HttpCall that takes the delivery of each
+// call from a script. After the script's end, calls get the default delivery
+// (kAnswered unless set). Each call advances the clock by a quarter of its
+// timeout.
 class FakePlatform {
  public:
-  HttpCall Way() {
+  HttpCall MakeHttpCall() {
     return [this](const Endpoint&, const HttpRequest& request, Duration timeout,
                   const PlatformCredentials*, const HttpClientCallback& done) {
       ++calls_;
       now_ += timeout / 4;
-      done(Follow(NextFate(), request));
+      done(Deliver(NextDelivery(), request));
     };
   }
 
-  NowFunction Clock() {
+  NowFunction MakeClock() {
     return [this] { return now_; };
   }
 
-  void Script(std::vector<Fate> fates) {
-    fates_ = {fates.begin(), fates.end()};
+  void SetScript(std::vector<Delivery> deliveries) {
+    script_ = {deliveries.begin(), deliveries.end()};
   }
-  // Every further call.
-  void Always(Fate fate) { always_ = fate; }
+  // Sets the delivery of calls after the script's end.
+  void SetDefault(Delivery delivery) { default_delivery_ = delivery; }
 
   int calls() const { return calls_; }
   testsuite::PlatformModel& model() { return model_; }
 
  private:
-  Fate NextFate() {
-    if (fates_.empty()) return always_;
-    const Fate fate = fates_.front();
-    fates_.pop_front();
-    return fate;
+  Delivery NextDelivery() {
+    if (script_.empty()) return default_delivery_;
+    const Delivery delivery = script_.front();
+    script_.pop_front();
+    return delivery;
   }
 
-  HttpClientResult Follow(Fate fate, const HttpRequest& request) {
+  HttpClientResult Deliver(Delivery delivery, const HttpRequest& request) {
     HttpClientResult result;
     result.reason = Reason::kConnectionLost;
-    const std::optional<HttpRequest> late = std::move(late_);
-    late_.reset();
-    if (fate == Fate::kNeverSent) result.verdict = Verdict::kNotRun;
-    if (fate == Fate::kSentLater) late_ = request;
-    if (fate == Fate::kAnswered || fate == Fate::kAnswerLost) {
+    const std::optional<HttpRequest> delayed = std::move(delayed_request_);
+    delayed_request_.reset();
+    if (delivery == Delivery::kNotSent) result.verdict = Verdict::kNotRun;
+    if (delivery == Delivery::kDelayed) delayed_request_ = request;
+    if (delivery == Delivery::kAnswered || delivery == Delivery::kAnswerLost) {
       const HttpResponse response = model_.Handle(request);
-      if (fate == Fate::kAnswered) {
+      if (delivery == Delivery::kAnswered) {
         result = {response, Verdict::kRan, Reason::kNone};
       }
     }
-    if (late) model_.Handle(*late);
+    if (delayed) model_.Handle(*delayed);
     return result;
   }
 
   testsuite::PlatformModel model_;
-  std::deque<Fate> fates_;
-  Fate always_ = Fate::kAnswered;
-  std::optional<HttpRequest> late_;
+  std::deque<Delivery> script_;
+  Delivery default_delivery_ = Delivery::kAnswered;
+  std::optional<HttpRequest> delayed_request_;
   TimePoint now_ = FromMicros(0);
   int calls_ = 0;
 };
 
-PlatformOptions Options() {
+PlatformOptions TestOptions() {
   PlatformOptions options;
   options.writes_per_second = 1000;
   options.reads_per_second = 1000;
   return options;
 }
 
-PlatformReply CallAndWait(PlatformClient& client,
-                          const PlatformRequest& request) {
+PlatformReply CallForReply(PlatformClient& client,
+                           const PlatformRequest& request) {
   std::optional<PlatformReply> reply;
   client.Call(request,
               [&](PlatformReply answer) { reply = std::move(answer); });
@@ -107,94 +109,101 @@
 
 TEST_GROUP(PlatformClient) {
   FakePlatform platform_;
-  PlatformClient client_{Options(), platform_.Way(), platform_.Clock()};
+  PlatformClient client_{TestOptions(), platform_.MakeHttpCall(),
+                         platform_.MakeClock()};
 
-  PlatformReply Ask(const PlatformRequest& request) {
-    return CallAndWait(client_, request);
+  PlatformReply CallPlatform(const PlatformRequest& request) {
+    return CallForReply(client_, request);
   }
 };
 
-TEST(PlatformClient, ClaimsMoreRowsThanOneTransactionTakes) {
-  const PlatformReply reply = Ask(Claims(250, "a"));
+TEST(PlatformClient, ClaimsMoreRowsThanFitInOneTransaction) {
+  const PlatformReply reply = CallPlatform(Claims(250, "a"));
   CHECK(reply.status == PlatformStatus::kOk);
   CHECK(reply.holders == std::vector<std::string>(250, "a"));
   CHECK_EQUAL(3u, platform_.model().counts().transactions);
 }
 
-// Another node holds one key of a batch, which cancels the transaction of all.
-// The others' callers must not pay for it: their rows are inserted by a second
-// transaction and only the taken key names the other holder.
-TEST(PlatformClient, TakenRowDoesNotKeepTheOthersOfItsBatch) {
-  Ask(TableClaimRows{{{"key1", "b"}}});
-  const PlatformReply reply = Ask(Claims(3, "a"));
+// A key that another node holds cancels the transaction of its whole batch. The
+// other rows must still be claimed: a second transaction inserts them, and only
+// the held key reports the other holder.
+TEST(PlatformClient, HeldRowDoesNotBlockOtherRowsOfItsBatch) {
+  CallPlatform(TableClaimRows{{{"key1", "b"}}});
+  const PlatformReply reply = CallPlatform(Claims(3, "a"));
   CHECK(reply.status == PlatformStatus::kOk);
   CHECK((std::vector<std::string>{"a", "b", "a"}) == reply.holders);
 }
 
-TEST(PlatformClient, TwoClaimsOfOneKeyInABatchHaveOneHolder) {
-  const PlatformReply reply =
-      Ask(TableClaimRows{{{"key", "a"}, {"key", "b"}, {"other", "c"}}});
+TEST(PlatformClient, TwoClaimsOfOneKeyInABatchGetOneHolder) {
+  const PlatformReply reply = CallPlatform(
+      TableClaimRows{{{"key", "a"}, {"key", "b"}, {"other", "c"}}});
   CHECK((std::vector<std::string>{"a", "a", "c"}) == reply.holders);
 }
 
-// The insert takes effect and its answer is lost. The caller sees a normal
-// answer: the rows are read back, the holder is ourselves.
-TEST(PlatformClient, LostAnswerOfAClaimIsSettledByReadingBack) {
-  platform_.Script({Fate::kAnswerLost});
-  const PlatformReply reply = Ask(Claims(2, "a"));
+// The insert takes effect and its answer is lost. The rows are then read back,
+// and the caller gets a normal answer with its own claim as the holder.
+TEST(PlatformClient, ClaimWithLostAnswerIsResolvedByReadBack) {
+  platform_.SetScript({Delivery::kAnswerLost});
+  const PlatformReply reply = CallPlatform(Claims(2, "a"));
   CHECK(reply.status == PlatformStatus::kOk);
   CHECK((std::vector<std::string>{"a", "a"}) == reply.holders);
   CHECK_EQUAL(2, platform_.calls());
 }
 
-// The insert times out, the read-back finds nothing, then the insert lands
-// after all. The second insert finds the row, and the holder it reports is the
-// same claim: not "absent", which would be told to the caller as not run.
-TEST(PlatformClient, InsertThatLandsAfterTheReadBackIsStillOurs) {
-  platform_.Script({Fate::kSentLater, Fate::kAnswered});
-  const PlatformReply reply = Ask(Claims(2, "a"));
+// The insert times out, the read-back finds nothing, and then the insert takes
+// effect after all. The second insert must find the rows and report the same
+// claim as their holder; otherwise the caller would be told that its request
+// was not run.
+TEST(PlatformClient, InsertAppliedAfterReadBackKeepsItsHolder) {
+  platform_.SetScript({Delivery::kDelayed, Delivery::kAnswered});
+  const PlatformReply reply = CallPlatform(Claims(2, "a"));
   CHECK(reply.status == PlatformStatus::kOk);
   CHECK((std::vector<std::string>{"a", "a"}) == reply.holders);
 }
 
-// The platform is away for good after an insert that may have landed: the
-// claim ends within bounded calls, and never as proved not done.
-TEST(PlatformClient, ClaimInAnOutageEndsInDoubtAfterBoundedCalls) {
-  platform_.Always(Fate::kAnswerLost);
-  CHECK(Ask(Claims(1, "a")).status == PlatformStatus::kUnknown);
+// Every answer is lost, starting with that to an insert that may have taken
+// effect. The claim must end after a bounded number of calls, with the outcome
+// unknown and never as proved not done.
+TEST(PlatformClient, ClaimInAnOutageEndsUnknownAfterBoundedCalls) {
+  platform_.SetDefault(Delivery::kAnswerLost);
+  CHECK(CallPlatform(Claims(1, "a")).status == PlatformStatus::kUnknown);
   CHECK(platform_.calls() <= 4);
 }
 
-TEST(PlatformClient, NoConnectionAfterALostAnswerStaysInDoubt) {
-  platform_.Script({Fate::kAnswerLost, Fate::kNeverSent, Fate::kNeverSent});
-  CHECK(Ask(Claims(1, "a")).status == PlatformStatus::kUnknown);
+TEST(PlatformClient, NoConnectionAfterALostAnswerStaysUnknown) {
+  platform_.SetScript(
+      {Delivery::kAnswerLost, Delivery::kNotSent, Delivery::kNotSent});
+  CHECK(CallPlatform(Claims(1, "a")).status == PlatformStatus::kUnknown);
 }
 
-TEST(PlatformClient, NoConnectionAtFirstIsProvedNotDone) {
-  platform_.Always(Fate::kNeverSent);
-  CHECK(Ask(Claims(1, "a")).status == PlatformStatus::kUnreachable);
+TEST(PlatformClient, NoConnectionForTheFirstCallIsUnreachable) {
+  platform_.SetDefault(Delivery::kNotSent);
+  CHECK(CallPlatform(Claims(1, "a")).status == PlatformStatus::kUnreachable);
   CHECK_EQUAL(1, platform_.calls());
 }
 
 // Two nodes claim overlapping keys through any mix of lost, late and unsent
-// calls. Whatever each is told, no key may be told to both as theirs, what is
-// told is what the table holds, and "unreachable" leaves no row behind.
-TEST(PlatformClient, ClaimsAgreeWithTheTableWhateverIsLost) {
-  const bool ok = rc::check([](const std::vector<uint8_t>& fates) {
+// calls. Each holder that is reported must be the one in the table, so that no
+// key is reported to both nodes as their own, and a claim that ends as
+// kUnreachable must leave no row.
+TEST(PlatformClient, ClaimRepliesMatchTheTableWhateverIsLost) {
+  const bool ok = rc::check([](const std::vector<uint8_t>& deliveries) {
     FakePlatform platform;
-    PlatformClient client(Options(), platform.Way(), platform.Clock());
-    std::vector<Fate> script;
-    script.reserve(fates.size());
-    for (const uint8_t fate : fates) script.push_back(Fate(fate % 4));
-    platform.Script(script);
-    const PlatformReply a = CallAndWait(client, Claims(3, "a"));
-    const PlatformReply b = CallAndWait(client, Claims(4, "b"));
-    platform.Script({});
-    CallAndWait(client, TableReadHead{});  // lets a late write land
-    const PlatformReply truth = CallAndWait(client, Claims(4, "truth"));
-    RC_ASSERT(truth.status == PlatformStatus::kOk);
-    for (size_t i = 0; i < truth.holders.size(); ++i) {
-      const std::string& holder = truth.holders[i];
+    PlatformClient client(TestOptions(), platform.MakeHttpCall(),
+                          platform.MakeClock());
+    std::vector<Delivery> script;
+    script.reserve(deliveries.size());
+    for (const uint8_t delivery : deliveries)
+      script.push_back(Delivery(delivery % 4));
+    platform.SetScript(script);
+    const PlatformReply a = CallForReply(client, Claims(3, "a"));
+    const PlatformReply b = CallForReply(client, Claims(4, "b"));
+    platform.SetScript({});
+    CallForReply(client, TableReadHead{});  // a delayed write takes effect
+    const PlatformReply actual = CallForReply(client, Claims(4, "truth"));
+    RC_ASSERT(actual.status == PlatformStatus::kOk);
+    for (size_t i = 0; i < actual.holders.size(); ++i) {
+      const std::string& holder = actual.holders[i];
       for (const PlatformReply& reply : {a, b}) {
         if (i >= reply.holders.size() || reply.holders[i].empty()) continue;
         RC_ASSERT(reply.holders[i] == holder);
@@ -208,79 +217,85 @@
   CHECK(ok);
 }
 
-// Two operators move the head from the same version. One wins, the other is
-// told at once that the condition failed.
-TEST(PlatformClient, OneOfTwoRacingMovesWins) {
-  CHECK(Ask(TableReadHead{}).status == PlatformStatus::kNotFound);
-  CHECK(Ask(TableMoveHead{0, 1, "one", "c1"}).status == PlatformStatus::kOk);
-  const PlatformReply late = Ask(TableMoveHead{0, 1, "other", "c2"});
-  CHECK(late.status == PlatformStatus::kConditionFailed);
-  CHECK(Ask(TableMoveHead{1, 2, "two", "c3"}).status == PlatformStatus::kOk);
-  const PlatformReply head = Ask(TableReadHead{});
+// Two operators move the head from the same version. One move succeeds, the
+// other fails at once with kConditionFailed.
+TEST(PlatformClient, OneOfTwoConcurrentMovesSucceeds) {
+  CHECK(CallPlatform(TableReadHead{}).status == PlatformStatus::kNotFound);
+  CHECK(CallPlatform(TableMoveHead{0, 1, "one", "c1"}).status ==
+        PlatformStatus::kOk);
+  const PlatformReply second = CallPlatform(TableMoveHead{0, 1, "other", "c2"});
+  CHECK(second.status == PlatformStatus::kConditionFailed);
+  CHECK(CallPlatform(TableMoveHead{1, 2, "two", "c3"}).status ==
+        PlatformStatus::kOk);
+  const PlatformReply head = CallPlatform(TableReadHead{});
   CHECK_EQUAL(2u, head.version);
   CHECK("two" == head.bytes);
-  CHECK(Ask(TableReadChange{"c2"}).status == PlatformStatus::kNotFound);
+  CHECK(CallPlatform(TableReadChange{"c2"}).status ==
+        PlatformStatus::kNotFound);
 }
 
-// The move takes effect and its answer is lost. The reply leaves the doubt;
-// reading the change id settles it, and moving once more is told as done.
-TEST(PlatformClient, LostAnswerOfAMoveIsSettledByItsChangeId) {
-  platform_.Script({Fate::kAnswerLost});
+// The move takes effect and its answer is lost, so its outcome is unknown.
+// Reading the change id shows that it took effect, and a repeated move is
+// reported as done.
+TEST(PlatformClient, MoveWithLostAnswerIsResolvedByItsChangeId) {
+  platform_.SetScript({Delivery::kAnswerLost});
   const TableMoveHead move{0, 1, "one", "c1"};
-  CHECK(Ask(move).status == PlatformStatus::kUnknown);
-  const PlatformReply change = Ask(TableReadChange{"c1"});
+  CHECK(CallPlatform(move).status == PlatformStatus::kUnknown);
+  const PlatformReply change = CallPlatform(TableReadChange{"c1"});
   CHECK(change.status == PlatformStatus::kOk);
   CHECK_EQUAL(1u, change.version);
-  CHECK(Ask(move).status == PlatformStatus::kOk);
+  CHECK(CallPlatform(move).status == PlatformStatus::kOk);
 }
 
-TEST(PlatformClient, ListsPeersOverSeveralPages) {
+TEST(PlatformClient, ListsPeersAcrossSeveralPages) {
   std::vector<std::string> expected;
   for (int i = 100; i < 350; ++i) {
     const std::string name = "node" + std::to_string(i);
-    Ask(TableWritePeer{name, "127.0.0.1:1"});
+    CallPlatform(TableWritePeer{name, "127.0.0.1:1"});
     expected.push_back(name + "=127.0.0.1:1");
   }
-  const PlatformReply reply = Ask(TableReadPeers{});
+  const PlatformReply reply = CallPlatform(TableReadPeers{});
   CHECK(reply.status == PlatformStatus::kOk);
   CHECK(expected == reply.peers);
 }
 
-TEST(PlatformClient, ObjectIsWrittenOnceAndReadWhole) {
+TEST(PlatformClient, ObjectIsWrittenOnceAndReadInFull) {
   const std::string bytes("a\0b\xff", 4);
-  CHECK(Ask(ObjectGet{"s/1 é"}).status == PlatformStatus::kNotFound);
-  CHECK(Ask(ObjectPut{"s/1 é", bytes}).status == PlatformStatus::kOk);
-  CHECK(Ask(ObjectPut{"s/1 é", "x"}).status ==
+  CHECK(CallPlatform(ObjectGet{"s/1 é"}).status == PlatformStatus::kNotFound);
+  CHECK(CallPlatform(ObjectPut{"s/1 é", bytes}).status == PlatformStatus::kOk);
+  CHECK(CallPlatform(ObjectPut{"s/1 é", "x"}).status ==
         PlatformStatus::kConditionFailed);
-  const PlatformReply reply = Ask(ObjectGet{"s/1 é"});
+  const PlatformReply reply = CallPlatform(ObjectGet{"s/1 é"});
   CHECK(reply.status == PlatformStatus::kOk);
   CHECK(bytes == reply.bytes);
 }
 
-// Keys surge past this node's share: further claims are told at once that
-// they were not made, and nothing is sent that the platform would throttle.
-TEST(PlatformClient, OverItsBudgetNothingIsSent) {
-  PlatformOptions options = Options();
+// Claims of many keys use up this node's share of the rate. Further writes must
+// fail at once as not done, and nothing is sent that the platform would
+// throttle.
+TEST(PlatformClient, NothingIsSentOverTheNodesShare) {
+  PlatformOptions options = TestOptions();
   options.writes_per_second = 10;
   FakePlatform platform;
-  PlatformClient client(options, platform.Way(), platform.Clock());
-  CHECK(CallAndWait(client, Claims(20, "a")).status == PlatformStatus::kOk);
+  PlatformClient client(options, platform.MakeHttpCall(), platform.MakeClock());
+  CHECK(CallForReply(client, Claims(20, "a")).status == PlatformStatus::kOk);
   const int calls = platform.calls();
-  CHECK(CallAndWait(client, ObjectPut{"n", "x"}).status ==
+  CHECK(CallForReply(client, ObjectPut{"n", "x"}).status ==
         PlatformStatus::kUnreachable);
   CHECK_EQUAL(calls, platform.calls());
 }
 
-// The owner is destroyed while a call is out; its late answer must not reach
-// a callback that uses the owner.
-TEST(PlatformClient, NoReplyAfterTheClientIsGone) {
+// The owner is destroyed while a call is in flight. The late answer must not
+// reach a callback that uses the owner.
+TEST(PlatformClient, NoReplyAfterTheClientIsDestroyed) {
   HttpClientCallback pending;
   bool replied = false;
   {
     PlatformClient client(
-        Options(), [&](const Endpoint&, const HttpRequest&, Duration,
-                       const PlatformCredentials*,
-                       HttpClientCallback done) { pending = std::move(done); });
+        TestOptions(),
+        [&](const Endpoint&, const HttpRequest&, Duration,
+            const PlatformCredentials*,
+            HttpClientCallback done) { pending = std::move(done); });
     client.Call(TableReadHead{}, [&](const PlatformReply&) { replied = true; });
   }
   pending(HttpClientResult());
--- a/src/libplatform/platform_link.h
+++ b/src/libplatform/platform_link.h
@@ -9,10 +9,10 @@
 
 namespace amaranth::pvt {
 
-using PlatformDone = std::function<void(PlatformReply)>;
+using PlatformCallback = std::function<void(PlatformReply)>;
 
-// What the table and the object adapter share: options, the way out, the
-// clock and the budget.
+// State that TableStore and ObjectStore share: options, HTTP call function,
+// clock, rate limits and credentials.
 class PlatformLink {
  public:
   PlatformLink(PlatformOptions options, HttpCall http_call, NowFunction now)
@@ -29,8 +29,8 @@
 
   const PlatformOptions& options() const { return options_; }
   TimePoint Now() const { return now_(); }
-  bool TakeWrites(size_t rows) { return writes_.Take(Amount(rows), Now()); }
-  bool TakeReads(size_t rows) { return reads_.Take(Amount(rows), Now()); }
+  bool TakeWrites(size_t rows) { return writes_.Take(TokenCount(rows), Now()); }
+  bool TakeReads(size_t rows) { return reads_.Take(TokenCount(rows), Now()); }
 
   void CallTable(HttpRequest request, HttpClientCallback done) {
     Call(options_.table_endpoint, std::move(request), table_credentials_,
@@ -43,7 +43,7 @@
   }
 
  private:
-  static double Amount(size_t rows) { return static_cast<double>(rows); }
+  static double TokenCount(size_t rows) { return static_cast<double>(rows); }
 
   void Call(const Endpoint& endpoint, HttpRequest request,
             const PlatformCredentials& credentials, HttpClientCallback done) {
@@ -61,7 +61,7 @@
   PlatformCredentials object_credentials_;
 };
 
-inline PlatformReply ReplyOf(PlatformStatus status) {
+inline PlatformReply ReplyWithStatus(PlatformStatus status) {
   PlatformReply reply;
   reply.status = status;
   return reply;
--- a/src/libplatform/table_codec.cc
+++ b/src/libplatform/table_codec.cc
@@ -57,7 +57,7 @@
   return {{"Put", std::move(result)}};
 }
 
-// The string under item[name][type], or an empty one.
+// Returns the string at item[name][type], or an empty string if there is none.
 std::string Attribute(const json& item, const char* name, const char* type) {
   if (!item.is_object()) return {};
   const json::const_iterator attribute = item.find(name);
@@ -84,7 +84,8 @@
   return ParseShallowJson<json>(response.body.view());
 }
 
-// The error's name without its namespace; empty if the body holds none.
+// Returns the error's name without its namespace, or an empty string if the
+// body has no error name.
 std::string ErrorName(const json& body) {
   if (!body.is_object() || !body.contains("__type")) return {};
   if (!body["__type"].is_string()) return {};
@@ -93,27 +94,28 @@
   return hash == std::string::npos ? type : type.substr(hash + 1);
 }
 
-// A client error by the service's own name says that nothing was done. One
-// without such a name came from something in between, which cannot know.
-TableResult ResultOf(const HttpClientResult& result) {
+// A 4xx response with an error name of the service proves that the call had no
+// effect, except for TransactionInProgressException. A 4xx response without one
+// may come from an intermediary, which cannot know.
+TableResult ClassifyResult(const HttpClientResult& result) {
   if (!result.response) {
     return result.verdict == Verdict::kNotRun ? TableResult::kNotSent
-                                              : TableResult::kLost;
+                                              : TableResult::kOutcomeUnknown;
   }
   const int status = result.response->status;
   if (status == 200) return TableResult::kDone;
   if (status < kFirstClientError || status >= kFirstServerError) {
-    return TableResult::kLost;
+    return TableResult::kOutcomeUnknown;
   }
   const std::string error = ErrorName(ReadBody(*result.response));
   if (error.empty() || error == "TransactionInProgressException") {
-    return TableResult::kLost;
+    return TableResult::kOutcomeUnknown;
   }
   if (error == "TransactionCanceledException") return TableResult::kCancelled;
   return TableResult::kRefused;
 }
 
-CancelledRow ReadReason(const json& reason) {
+CancelledRow ReadCancellationReason(const json& reason) {
   CancelledRow row;
   const std::string code = reason.is_object() && reason.contains("Code") &&
                                    reason["Code"].is_string()
@@ -125,7 +127,7 @@
     return row;
   }
   row.result = RowResult::kConditionFailed;
-  if (reason.contains("Item")) row.old_item = ReadItem(reason["Item"]);
+  if (reason.contains("Item")) row.existing_item = ReadItem(reason["Item"]);
   return row;
 }
 
@@ -134,17 +136,18 @@
   for (const json& item : items) result.push_back(ReadItem(item));
 }
 
-// Reads a 200's body with `read`; a body that is no JSON object tells nothing.
+// Parses the body of a 200 response with `read`. If the body is not a JSON
+// object, the outcome is unknown.
 template <typename Read>
 ItemsAnswer ReadItemsAnswer(const HttpClientResult& result, Read read) {
   ItemsAnswer answer;
-  answer.result = ResultOf(result);
+  answer.result = ClassifyResult(result);
   if (answer.result != TableResult::kDone) return answer;
   const json body = ReadBody(*result.response);
   if (body.is_object()) {
     read(body, answer);
   } else {
-    answer.result = TableResult::kLost;
+    answer.result = TableResult::kOutcomeUnknown;
   }
   return answer;
 }
@@ -177,19 +180,19 @@
 }
 
 HttpRequest QueryRequest(const std::string& table, const std::string& partition,
-                         const std::optional<TableKey>& behind) {
+                         const std::optional<TableKey>& start_after) {
   json body = {
       {"TableName", table},
       {"KeyConditionExpression", "pk = :partition"},
       {"ExpressionAttributeValues", {{":partition", {{"S", partition}}}}},
       {"ConsistentRead", true}};
-  if (behind) body["ExclusiveStartKey"] = KeyJson(*behind);
+  if (start_after) body["ExclusiveStartKey"] = KeyJson(*start_after);
   return Request("Query", body);
 }
 
 TransactAnswer ReadTransactAnswer(const HttpClientResult& result, size_t puts) {
   TransactAnswer answer;
-  answer.result = ResultOf(result);
+  answer.result = ClassifyResult(result);
   if (answer.result != TableResult::kCancelled) return answer;
   const json body = ReadBody(*result.response);
   const json::const_iterator reasons = body.find("CancellationReasons");
@@ -198,13 +201,13 @@
     return answer;
   }
   for (const json& reason : *reasons) {
-    answer.rows.push_back(ReadReason(reason));
+    answer.rows.push_back(ReadCancellationReason(reason));
   }
   return answer;
 }
 
 TableResult ReadPutAnswer(const HttpClientResult& result) {
-  return ResultOf(result);
+  return ClassifyResult(result);
 }
 
 ItemsAnswer ReadGetAnswer(const HttpClientResult& result) {
@@ -228,7 +231,7 @@
   return ReadItemsAnswer(result, [](const json& body, ItemsAnswer& answer) {
     if (body.contains("Items")) ReadItems(body["Items"], answer.items);
     if (body.contains("LastEvaluatedKey")) {
-      answer.next = ReadKey(body["LastEvaluatedKey"]);
+      answer.continue_after = ReadKey(body["LastEvaluatedKey"]);
     }
   });
 }
--- a/src/libplatform/table_codec.h
+++ b/src/libplatform/table_codec.h
@@ -1,8 +1,9 @@
 #ifndef AMARANTHROUTE_LIBPLATFORM_TABLE_CODEC_H_
 #define AMARANTHROUTE_LIBPLATFORM_TABLE_CODEC_H_
 
-// The table service's wire form: DynamoDB's JSON 1.0 protocol. Requests are
-// built and answers read here; what to do about them is in table_store.cc.
+// Encoding of the table service's protocol, DynamoDB's JSON 1.0: builds
+// requests and parses answers. table_store.cc and claim_run.cc decide what to
+// send and how to act on the answers.
 
 #include <cstdint>
 #include <optional>
@@ -14,7 +15,7 @@
 
 namespace amaranth::pvt {
 
-// Key of a row. Rows that are listed together share the partition.
+// Key of a row. Rows that are listed together share a partition.
 struct TableKey {
   std::string partition;
   std::string sort;
@@ -24,7 +25,7 @@
   }
 };
 
-// All of our rows have this shape; the key says what the fields mean.
+// A row. All rows have these fields; their meaning depends on the key.
 struct TableItem {
   TableKey key;
   std::string text;
@@ -43,34 +44,36 @@
   uint64_t expected_version = 0;  // for kVersionIs
 };
 
-// How a call ended, as far as its effect goes.
+// Whether a call to the table service took effect.
 enum class TableResult {
   kDone,
-  kCancelled,  // a transaction without effect; see the rows
-  kRefused,    // the service says that it did nothing (throttled, denied)
-  kNotSent,    // proved: no byte left
-  kLost,       // no word: it may have taken effect
+  kCancelled,       // transaction cancelled without effect; see the rows
+  kRefused,         // the service reports no effect (throttled, denied)
+  kNotSent,         // no byte of the request was sent
+  kOutcomeUnknown,  // it may have taken effect
 };
 
-enum class RowResult { kFine, kConditionFailed, kConflict };
+// Reason a row gave for the cancellation of its transaction, kNone if it gave
+// none. kConflict stands for every reason other than a failed condition.
+enum class RowResult { kNone, kConditionFailed, kConflict };
 
 struct CancelledRow {
-  RowResult result = RowResult::kFine;
-  std::optional<TableItem> old_item;  // kConditionFailed: what is there
+  RowResult result = RowResult::kNone;
+  std::optional<TableItem> existing_item;  // for kConditionFailed, if returned
 };
 
 struct TransactAnswer {
-  TableResult result = TableResult::kLost;
-  std::vector<CancelledRow> rows;  // kCancelled: in the order of the puts
+  TableResult result = TableResult::kOutcomeUnknown;
+  std::vector<CancelledRow> rows;  // for kCancelled: in the order of the puts
 };
 
 struct ItemsAnswer {
-  TableResult result = TableResult::kLost;
+  TableResult result = TableResult::kOutcomeUnknown;
   std::vector<TableItem> items;
-  std::optional<TableKey> next;  // Query: go on behind this key
+  std::optional<TableKey> continue_after;  // query: set if more rows follow
 };
 
-// Rows that one transaction or batch read takes at most.
+// Most rows in one transaction or batch read.
 inline constexpr size_t kMaxRowsPerCall = 100;
 
 HttpRequest TransactPutRequest(const std::string& table,
@@ -80,7 +83,7 @@
 HttpRequest BatchGetRequest(const std::string& table,
                             const std::vector<TableKey>& keys);
 HttpRequest QueryRequest(const std::string& table, const std::string& partition,
-                         const std::optional<TableKey>& behind);
+                         const std::optional<TableKey>& start_after);
 
 TransactAnswer ReadTransactAnswer(const HttpClientResult& result, size_t puts);
 TableResult ReadPutAnswer(const HttpClientResult& result);
--- a/src/libplatform/table_codec_test.cc
+++ b/src/libplatform/table_codec_test.cc
@@ -22,15 +22,15 @@
   return result;
 }
 
-TableItem SomeItem() { return {{"f/claim/k", "row"}, "holder", 7}; }
+TableItem SampleItem() { return {{"f/claim/k", "row"}, "holder", 7}; }
 
 }  // namespace
 
 TEST_GROUP(TableCodec){};
 
-TEST(TableCodec, TransactPutIsWhatTheProtocolSays) {
+TEST(TableCodec, TransactPutRequestMatchesProtocol) {
   ConditionalPut absent;
-  absent.item = SomeItem();
+  absent.item = SampleItem();
   ConditionalPut versioned = absent;
   versioned.condition = PutCondition::kVersionIs;
   versioned.expected_version = 6;
@@ -51,7 +51,7 @@
   CHECK(expected == nlohmann::json::parse(request.body.view()));
 }
 
-TEST(TableCodec, CancelledTransactionNamesTheHolder) {
+TEST(TableCodec, CancelledTransactionReportsHolder) {
   const TransactAnswer answer = ReadTransactAnswer(
       Answered(400, R"({"__type":"x#TransactionCanceledException",
         "CancellationReasons":[{"Code":"None"},
@@ -61,29 +61,31 @@
           {"Code":"TransactionConflict"}]})"),
       3);
   CHECK(answer.result == TableResult::kCancelled);
-  CHECK(answer.rows[0].result == RowResult::kFine);
+  CHECK(answer.rows[0].result == RowResult::kNone);
   CHECK(answer.rows[1].result == RowResult::kConditionFailed);
-  CHECK(answer.rows[1].old_item == SomeItem());
+  CHECK(answer.rows[1].existing_item == SampleItem());
   CHECK(answer.rows[2].result == RowResult::kConflict);
 }
 
-// "No effect" is told upward as proved, so it needs the service's own word: a
-// lost answer, a server error or an error page of something in between leaves
-// the doubt.
-TEST(TableCodec, OnlyTheServicesOwnErrorProvesNoEffect) {
+// Callers rely on "no effect" as proved, so it requires an error reported by
+// the service itself. After a lost answer, a server error or an error page from
+// an intermediary the outcome stays unknown.
+TEST(TableCodec, OnlyErrorFromTheServiceProvesNoEffect) {
   const std::string throttled = R"({"__type":"x#ThrottlingException"})";
   CHECK(ReadPutAnswer(Answered(400, throttled)) == TableResult::kRefused);
-  CHECK(ReadPutAnswer(Answered(400, "<html>")) == TableResult::kLost);
-  CHECK(ReadPutAnswer(Answered(500, throttled)) == TableResult::kLost);
-  CHECK(ReadPutAnswer(Unanswered(Verdict::kMayHaveRun)) == TableResult::kLost);
+  CHECK(ReadPutAnswer(Answered(400, "<html>")) == TableResult::kOutcomeUnknown);
+  CHECK(ReadPutAnswer(Answered(500, throttled)) ==
+        TableResult::kOutcomeUnknown);
+  CHECK(ReadPutAnswer(Unanswered(Verdict::kMayHaveRun)) ==
+        TableResult::kOutcomeUnknown);
   CHECK(ReadPutAnswer(Unanswered(Verdict::kNotRun)) == TableResult::kNotSent);
   CHECK(ReadPutAnswer(Answered(200, "{}")) == TableResult::kDone);
 }
 
-// A body from a broken or hostile service must end as an answer of some kind,
-// not as an exception in the node.
-TEST(TableCodec, AnyBodyIsReadWithoutThrowing) {
-  const std::vector<std::string> odd = {
+// A malformed body from a faulty or hostile service must give an answer, not an
+// exception that ends the node.
+TEST(TableCodec, AnyBodyIsParsedWithoutThrowing) {
+  const std::vector<std::string> malformed = {
       "",
       "null",
       "[]",
@@ -100,7 +102,7 @@
       R"({"__type":"x#TransactionCanceledException",
           "CancellationReasons":[{"Code":"ConditionalCheckFailed",
                                   "Item":"x"}]})"};
-  for (const std::string& body : odd) {
+  for (const std::string& body : malformed) {
     for (const int status : {200, 400}) {
       const HttpClientResult result = Answered(status, body);
       ReadTransactAnswer(result, 1);
--- a/src/libplatform/table_store.cc
+++ b/src/libplatform/table_store.cc
@@ -7,8 +7,8 @@
 namespace amaranth::pvt {
 namespace {
 
-// Pages of the peer list that are read: far more than a fleet's rows fill, and
-// an end to it should the service page without one.
+// Limit on the pages of the peer list. It is far above what a fleet's rows fill
+// and ends the read if the service never returns a last page.
 constexpr int kMaxPeerPages = 20;
 
 PlatformStatus StatusOf(TableResult result) {
@@ -19,14 +19,14 @@
     case TableResult::kRefused:
     case TableResult::kNotSent:
       return PlatformStatus::kUnreachable;
-    case TableResult::kLost:
+    case TableResult::kOutcomeUnknown:
       break;
   }
   return PlatformStatus::kUnknown;
 }
 
 PlatformReply RowReply(const ItemsAnswer& answer) {
-  PlatformReply reply = ReplyOf(StatusOf(answer.result));
+  PlatformReply reply = ReplyWithStatus(StatusOf(answer.result));
   if (answer.result != TableResult::kDone) return reply;
   if (answer.items.empty()) {
     reply.status = PlatformStatus::kNotFound;
@@ -37,41 +37,42 @@
   return reply;
 }
 
-// Rows: the head, then the change row.
+// Converts the answer to a head move. Its rows are the head row and the change
+// row, in this order.
 PlatformReply MoveReply(const TransactAnswer& answer, uint64_t version) {
-  PlatformReply reply = ReplyOf(StatusOf(answer.result));
+  PlatformReply reply = ReplyWithStatus(StatusOf(answer.result));
   if (answer.result == TableResult::kDone) reply.version = version;
   if (answer.result != TableResult::kCancelled) return reply;
   const CancelledRow& head = answer.rows[0];
   const CancelledRow& change = answer.rows[1];
-  if (change.old_item && change.old_item->version == version) {
-    // The same move was made before and only its answer was lost.
+  if (change.existing_item && change.existing_item->version == version) {
+    // The same move took effect before and only its answer was lost.
     reply.status = PlatformStatus::kOk;
     reply.version = version;
   } else if (head.result == RowResult::kConditionFailed ||
              change.result == RowResult::kConditionFailed) {
     reply.status = PlatformStatus::kConditionFailed;
-    if (head.old_item) reply.version = head.old_item->version;
+    if (head.existing_item) reply.version = head.existing_item->version;
   }
   return reply;
 }
 
-// Collects the peer list page by page.
-class PeerList : public std::enable_shared_from_this<PeerList> {
+// Reads the peer list page by page.
+class PeerListReader : public std::enable_shared_from_this<PeerListReader> {
  public:
-  PeerList(std::shared_ptr<PlatformLink> link, std::string partition,
-           PlatformDone done)
+  PeerListReader(std::shared_ptr<PlatformLink> link, std::string partition,
+                 PlatformCallback done)
       : link_(std::move(link)),
         partition_(std::move(partition)),
         done_(std::move(done)) {}
 
-  void ReadPage(const std::optional<TableKey>& behind) {
+  void ReadPage(const std::optional<TableKey>& start_after) {
     if (pages_++ == kMaxPeerPages || !link_->TakeReads(1)) {
-      done_(ReplyOf(PlatformStatus::kUnreachable));
+      done_(ReplyWithStatus(PlatformStatus::kUnreachable));
       return;
     }
     link_->CallTable(
-        QueryRequest(link_->options().table, partition_, behind),
+        QueryRequest(link_->options().table, partition_, start_after),
         [self = shared_from_this()](const HttpClientResult& result) {
           self->OnPage(ReadQueryAnswer(result));
         });
@@ -80,14 +81,14 @@
  private:
   void OnPage(const ItemsAnswer& answer) {
     if (answer.result != TableResult::kDone) {
-      done_(ReplyOf(StatusOf(answer.result)));
+      done_(ReplyWithStatus(StatusOf(answer.result)));
       return;
     }
     for (const TableItem& item : answer.items) {
       reply_.peers.push_back(item.key.sort + "=" + item.text);
     }
-    if (answer.next) {
-      ReadPage(answer.next);
+    if (answer.continue_after) {
+      ReadPage(answer.continue_after);
       return;
     }
     reply_.status = PlatformStatus::kOk;
@@ -96,7 +97,7 @@
 
   const std::shared_ptr<PlatformLink> link_;
   const std::string partition_;
-  const PlatformDone done_;
+  const PlatformCallback done_;
   PlatformReply reply_;
   int pages_ = 0;
 };
@@ -106,15 +107,15 @@
 TableStore::TableStore(std::shared_ptr<PlatformLink> link)
     : link_(std::move(link)) {}
 
-void TableStore::Claim(const TableClaimRows& request, PlatformDone done) {
-  std::make_shared<ClaimRun>(link_, request, std::move(done))->Start();
+void TableStore::Claim(const TableClaimRows& request, PlatformCallback done) {
+  std::make_shared<ClaimOperation>(link_, request, std::move(done))->Start();
 }
 
-void TableStore::ReadHead(PlatformDone done) {
+void TableStore::ReadHead(PlatformCallback done) {
   ReadRow(HeadKey(), std::move(done));
 }
 
-void TableStore::MoveHead(const TableMoveHead& move, PlatformDone done) {
+void TableStore::MoveHead(const TableMoveHead& move, PlatformCallback done) {
   ConditionalPut head;
   head.item = {HeadKey(), move.object, move.version};
   if (move.expected_version != 0) {
@@ -125,7 +126,7 @@
   change.item = {ChangeKey(move.change_id), move.object, move.version};
   const std::vector<ConditionalPut> puts = {head, change};
   if (!link_->TakeWrites(puts.size())) {
-    done(ReplyOf(PlatformStatus::kUnreachable));
+    done(ReplyWithStatus(PlatformStatus::kUnreachable));
     return;
   }
   link_->CallTable(
@@ -136,30 +137,31 @@
       });
 }
 
-void TableStore::ReadChange(const TableReadChange& read, PlatformDone done) {
+void TableStore::ReadChange(const TableReadChange& read,
+                            PlatformCallback done) {
   ReadRow(ChangeKey(read.change_id), std::move(done));
 }
 
-void TableStore::ReadPeers(PlatformDone done) {
-  std::make_shared<PeerList>(link_, PeerPartition(), std::move(done))
+void TableStore::ReadPeers(PlatformCallback done) {
+  std::make_shared<PeerListReader>(link_, PeerPartition(), std::move(done))
       ->ReadPage(std::nullopt);
 }
 
-void TableStore::WritePeer(const TableWritePeer& peer, PlatformDone done) {
+void TableStore::WritePeer(const TableWritePeer& peer, PlatformCallback done) {
   if (!link_->TakeWrites(1)) {
-    done(ReplyOf(PlatformStatus::kUnreachable));
+    done(ReplyWithStatus(PlatformStatus::kUnreachable));
     return;
   }
   const TableItem item = {{PeerPartition(), peer.name}, peer.address, 0};
   link_->CallTable(PutRequest(table(), item),
                    [done = std::move(done)](const HttpClientResult& result) {
-                     done(ReplyOf(StatusOf(ReadPutAnswer(result))));
+                     done(ReplyWithStatus(StatusOf(ReadPutAnswer(result))));
                    });
 }
 
-void TableStore::ReadRow(const TableKey& key, PlatformDone done) {
+void TableStore::ReadRow(const TableKey& key, PlatformCallback done) {
   if (!link_->TakeReads(1)) {
-    done(ReplyOf(PlatformStatus::kUnreachable));
+    done(ReplyWithStatus(PlatformStatus::kUnreachable));
     return;
   }
   link_->CallTable(GetRequest(table(), key),
--- a/src/libplatform/table_store.h
+++ b/src/libplatform/table_store.h
@@ -10,20 +10,20 @@
 
 namespace amaranth::pvt {
 
-// The table service's adapter.
+// Client of the table service: maps each table request to rows and calls.
 class TableStore {
  public:
   explicit TableStore(std::shared_ptr<PlatformLink> link);
 
-  void Claim(const TableClaimRows& request, PlatformDone done);
-  void ReadHead(PlatformDone done);
-  void MoveHead(const TableMoveHead& move, PlatformDone done);
-  void ReadChange(const TableReadChange& read, PlatformDone done);
-  void ReadPeers(PlatformDone done);
-  void WritePeer(const TableWritePeer& peer, PlatformDone done);
+  void Claim(const TableClaimRows& request, PlatformCallback done);
+  void ReadHead(PlatformCallback done);
+  void MoveHead(const TableMoveHead& move, PlatformCallback done);
+  void ReadChange(const TableReadChange& read, PlatformCallback done);
+  void ReadPeers(PlatformCallback done);
+  void WritePeer(const TableWritePeer& peer, PlatformCallback done);
 
  private:
-  void ReadRow(const TableKey& key, PlatformDone done);
+  void ReadRow(const TableKey& key, PlatformCallback done);
   TableKey HeadKey() const;
   TableKey ChangeKey(const std::string& change_id) const;
   std::string PeerPartition() const;
--- a/src/libplatform/token_bucket_test.cc
+++ b/src/libplatform/token_bucket_test.cc
@@ -7,9 +7,10 @@
 
 TEST_GROUP(TokenBucket){};
 
-// The platform throttles the whole fleet once the sum passes its rate, so
-// whatever the sizes and times of the takings, a node must keep to its share:
-// one second's worth at once, and one batch of debt over it.
+// The platform throttles the whole fleet once the sum of the nodes' calls
+// exceeds its rate. So whatever the sizes and times of the calls, a node must
+// keep to its share: the rate plus a burst of one second's worth, exceeded by
+// at most one batch.
 TEST(TokenBucket, MeanRateHoldsForAnySequence) {
   const bool ok = rc::check([](const std::vector<uint8_t>& steps) {
     constexpr double kRate = 40;
@@ -28,7 +29,7 @@
   CHECK(ok);
 }
 
-TEST(TokenBucket, DebtIsPaidBackBeforeTheNextTaking) {
+TEST(TokenBucket, NegativeBalanceIsRefilledBeforeTheNextTake) {
   TokenBucket bucket(10, FromMicros(0));
   CHECK(bucket.Take(30, FromMicros(0)));
   CHECK_FALSE(bucket.Take(1, FromMicros(1'900'000)));
