--- a/src/libplatform/platform_client_test.cc
+++ b/src/libplatform/platform_client_test.cc
@@ -187,14 +187,13 @@
 // key is reported to both nodes as their own, and a claim that ends as
 // kUnreachable must leave no row.
 TEST(PlatformClient, ClaimRepliesMatchTheTableWhateverIsLost) {
-  const bool ok = rc::check([](const std::vector<uint8_t>& deliveries) {
+  const bool ok = rc::check([](const std::vector<uint8_t>& choices) {
     FakePlatform platform;
     PlatformClient client(TestOptions(), platform.MakeHttpCall(),
                           platform.MakeClock());
     std::vector<Delivery> script;
-    script.reserve(deliveries.size());
-    for (const uint8_t delivery : deliveries)
-      script.push_back(Delivery(delivery % 4));
+    script.reserve(choices.size());
+    for (const uint8_t n : choices) script.push_back(Delivery(n % 4));
     platform.SetScript(script);
     const PlatformReply a = CallForReply(client, Claims(3, "a"));
     const PlatformReply b = CallForReply(client, Claims(4, "b"));
--- a/src/libplatform/platform_link.h
+++ b/src/libplatform/platform_link.h
@@ -11,8 +11,8 @@
 
 using PlatformCallback = std::function<void(PlatformReply)>;
 
-// State that TableStore and ObjectStore share: options, HTTP call function,
-// clock, rate limits and credentials.
+// State that TableStore and ObjectStore share: options, the HTTP call function,
+// the clock, rate limits and credentials.
 class PlatformLink {
  public:
   PlatformLink(PlatformOptions options, HttpCall http_call, NowFunction now)
