--- a/src/libhost/framing.cc
+++ b/src/libhost/framing.cc
@@ -17,7 +17,7 @@
   std::string_view phrase;
 };
 
-constexpr std::array<StatusPhrase, 36> kPhrases = {{
+constexpr std::array<StatusPhrase, 36> kReasonPhrases = {{
     {200, "OK"},
     {201, "Created"},
     {202, "Accepted"},
@@ -76,7 +76,7 @@
   return text;
 }
 
-std::vector<std::string> NamedByConnection(const std::vector<Header>& headers) {
+std::vector<std::string> ConnectionOptions(const std::vector<Header>& headers) {
   std::vector<std::string> names;
   for (const Header& header : headers) {
     if (!EqualsWithoutCase(header.name, "connection")) continue;
@@ -95,8 +95,9 @@
 }  // namespace
 
 bool IsFramingHeader(std::string_view name) {
-  // Asked for every field of every message: most names differ in the first
-  // letter or the length, so whole comparisons are rare.
+  // Called for every field of every message. A linear scan is sufficient: most
+  // names differ in length or in the first letter, so few comparisons go
+  // further.
   return std::any_of(kFramingHeaders.begin(), kFramingHeaders.end(),
                      [&](std::string_view framing) {
                        return EqualsWithoutCase(name, framing);
@@ -104,14 +105,16 @@
 }
 
 void RemoveFramingHeaders(std::vector<Header>& headers) {
-  const std::vector<std::string> named = NamedByConnection(headers);
-  const auto goes = [&](const Header& header) {
+  const std::vector<std::string> connection_options =
+      ConnectionOptions(headers);
+  const auto is_removed = [&](const Header& header) {
     if (IsFramingHeader(header.name)) return true;
-    return std::any_of(named.begin(), named.end(), [&](const std::string& n) {
-      return EqualsWithoutCase(header.name, n);
-    });
+    return std::any_of(connection_options.begin(), connection_options.end(),
+                       [&](const std::string& name) {
+                         return EqualsWithoutCase(header.name, name);
+                       });
   };
-  headers.erase(std::remove_if(headers.begin(), headers.end(), goes),
+  headers.erase(std::remove_if(headers.begin(), headers.end(), is_removed),
                 headers.end());
 }
 
@@ -131,7 +134,7 @@
 }
 
 std::string_view ReasonPhrase(int status) {
-  for (const StatusPhrase& entry : kPhrases) {
+  for (const StatusPhrase& entry : kReasonPhrases) {
     if (entry.status == status) return entry.phrase;
   }
   return "Unknown";
--- a/src/libhost/framing.h
+++ b/src/libhost/framing.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_FRAMING_H_
 #define AMARANTHROUTE_LIBHOST_FRAMING_H_
 
-// Header fields that belong to one connection rather than to the message.
+// Connection-specific header fields, and checks that a field or target can be
+// written without breaking the HTTP message.
 
 #include <string_view>
 #include <vector>
@@ -10,22 +11,24 @@
 
 namespace amaranth::pvt {
 
-// True for the fields that frame a message or describe the connection it came
-// on (RFC 9110 section 7.6.1). Passed on, they would describe the wrong
-// connection: a stale Transfer-Encoding lets a caller smuggle a second request.
+// Returns true for fields that frame a message or describe the connection that
+// it arrived on (RFC 9110 section 7.6.1). Forwarding them would describe the
+// wrong connection: a stale Transfer-Encoding lets a caller smuggle a second
+// request.
 bool IsFramingHeader(std::string_view name);
 
-// Removes the framing fields and those that a Connection field names.
+// Removes the framing fields and the fields named by a Connection field.
 void RemoveFramingHeaders(std::vector<Header>& headers);
 
-// False if the field could not be written without changing the message around
-// it (line breaks, an empty name, a separator in the name).
+// Returns false if writing the field would change the message around it (line
+// breaks, an empty name, a separator in the name).
 bool IsWritableHeader(const Header& header);
 
-// False if the text has a byte that would end the request line.
+// Returns false if the target is empty or contains a byte that would end it in
+// the request line.
 bool IsWritableTarget(std::string_view target);
 
-// The usual reason phrase of a status, or "Unknown".
+// Returns the standard reason phrase of a status, or "Unknown".
 std::string_view ReasonPhrase(int status);
 
 }  // namespace amaranth::pvt
--- a/src/libhost/frontend_socket.cc
+++ b/src/libhost/frontend_socket.cc
@@ -6,22 +6,25 @@
 namespace amaranth::pvt {
 namespace {
 
-// A caller that goes on sending for longer loses the answer.
-constexpr std::chrono::seconds kFarewellLimit{2};
-// Over it connections are just closed: last words are a courtesy, and must not
-// hold more sockets than the connection limit allows for by much.
-constexpr size_t kMaxFarewells = 256;
+// Limits the time for sending the response and discarding input. A caller that
+// keeps sending for longer may lose the response.
+constexpr std::chrono::seconds kLingerTimeout{2};
+// Above this count, connections are closed without a response, so that
+// lingering connections hold only a bounded number of sockets beyond the
+// connection limit.
+constexpr size_t kMaxLingering = 256;
 
 }  // namespace
 
-// Behind functions, as g++ 12's undefined behaviour sanitizer takes a store to
-// a thread's variable of another source file for a store to a null pointer.
-std::string& Farewell::Pending() {
+// Thread-local variables are accessed through functions because the undefined
+// behaviour sanitizer of g++ 12 reports a store to a thread-local variable of
+// another source file as a store to a null pointer.
+std::string& LingeringClose::PendingResponse() {
   thread_local std::string pending;
   return pending;
 }
 
-size_t& Farewell::Live() {
+size_t& LingeringClose::LiveCount() {
   thread_local size_t live = 0;
   return live;
 }
@@ -36,26 +39,28 @@
   return intake;
 }
 
-void Farewell::Say(asio::ip::tcp::socket socket, std::string text) {
-  if (Live() >= kMaxFarewells) return;
-  std::make_shared<Farewell>(std::move(socket), std::move(text))->Start();
+void LingeringClose::Send(asio::ip::tcp::socket socket, std::string response) {
+  if (LiveCount() >= kMaxLingering) return;
+  std::make_shared<LingeringClose>(std::move(socket), std::move(response))
+      ->Start();
 }
 
-Farewell::Farewell(asio::ip::tcp::socket socket, std::string text)
+LingeringClose::LingeringClose(asio::ip::tcp::socket socket,
+                               std::string response)
     : socket_(std::move(socket)),
-      text_(std::move(text)),
+      response_(std::move(response)),
       timer_(socket_.get_executor()) {
-  ++Live();
+  ++LiveCount();
 }
 
-void Farewell::Start() {
-  timer_.expires_after(kFarewellLimit);
+void LingeringClose::Start() {
+  timer_.expires_after(kLingerTimeout);
   timer_.async_wait([self = shared_from_this()](const asio::error_code&) {
     asio::error_code ignored;
     self->socket_.close(ignored);
   });
   asio::async_write(
-      socket_, asio::buffer(text_),
+      socket_, asio::buffer(response_),
       [self = shared_from_this()](const asio::error_code& error, size_t) {
         if (error) {
           self->timer_.cancel();
@@ -67,9 +72,9 @@
       });
 }
 
-void Farewell::Drain() {
+void LingeringClose::Drain() {
   socket_.async_read_some(
-      asio::buffer(waste_),
+      asio::buffer(discarded_),
       [self = shared_from_this()](const asio::error_code& error, size_t) {
         if (error) {
           self->timer_.cancel();
--- a/src/libhost/frontend_socket.h
+++ b/src/libhost/frontend_socket.h
@@ -1,14 +1,15 @@
 #ifndef AMARANTHROUTE_LIBHOST_FRONTEND_SOCKET_H_
 #define AMARANTHROUTE_LIBHOST_FRONTEND_SOCKET_H_
 
-// The socket that RESTinio is given instead of a plain TCP socket.
+// The socket type that RESTinio uses in place of a plain TCP socket.
 //
-// RESTinio closes a connection at once when a request does not parse or is
-// over a limit: the caller would see a bare reset and not know whether its
-// request ran. RESTinio has no hook for an answer there, but it logs the error
-// and then closes its socket in the same breath; the logger leaves the answer
-// in Farewell::Pending() and this socket's shutdown() picks it up. RESTinio is
-// used on one thread, so nothing can come in between.
+// RESTinio closes a connection immediately when a request does not parse or
+// exceeds a limit: the caller would see only a connection reset and could not
+// tell whether its request ran. RESTinio has no hook for a response in that
+// case, but it logs the error and then closes the socket in the same call
+// chain. The logger stores the response in LingeringClose::PendingResponse(),
+// and shutdown() of this socket sends it. RESTinio runs on one thread, so
+// nothing can happen between the two steps.
 
 #include <array>
 #include <asio/bind_executor.hpp>
@@ -25,31 +26,32 @@
 
 namespace amaranth::pvt {
 
-// Sends the last words on a connection, then reads and drops what the caller
-// is still sending: closing with unread bytes would reset the connection, and
-// the caller would lose the answer.
-class Farewell : public std::enable_shared_from_this<Farewell> {
+// Sends a final response on a connection, then reads and discards what the
+// caller is still sending. Closing with unread bytes would reset the
+// connection, and the caller would lose the response.
+class LingeringClose : public std::enable_shared_from_this<LingeringClose> {
  public:
-  // Set by the logger, taken by the next FrontendSocket::shutdown.
-  static std::string& Pending();
+  // The response for the next FrontendSocket::shutdown to send, which also
+  // clears it. Set by the logger; empty if there is none.
+  static std::string& PendingResponse();
 
-  static void Say(asio::ip::tcp::socket socket, std::string text);
+  static void Send(asio::ip::tcp::socket socket, std::string response);
 
-  Farewell(asio::ip::tcp::socket socket, std::string text);
-  ~Farewell() { --Live(); }
-  Farewell(const Farewell&) = delete;
-  Farewell& operator=(const Farewell&) = delete;
+  LingeringClose(asio::ip::tcp::socket socket, std::string response);
+  ~LingeringClose() { --LiveCount(); }
+  LingeringClose(const LingeringClose&) = delete;
+  LingeringClose& operator=(const LingeringClose&) = delete;
 
  private:
-  static size_t& Live();
+  static size_t& LiveCount();
 
   void Start();
   void Drain();
 
   asio::ip::tcp::socket socket_;
-  std::string text_;
+  std::string response_;
   asio::steady_timer timer_;
-  std::array<char, 4096> waste_{};
+  std::array<char, 4096> discarded_{};
 };
 
 class FrontendSocket : public asio::ip::tcp::socket {
@@ -59,43 +61,46 @@
   explicit FrontendSocket(asio::io_context& io) : Base(io) {}
   FrontendSocket(FrontendSocket&&) = default;
   FrontendSocket& operator=(FrontendSocket&&) = default;
-  ~FrontendSocket() { SettleParsed(); }
+  ~FrontendSocket() { ReleaseUnparsed(); }
 
-  // Counts what is read but not yet a whole request, so that many slow large
-  // uploads cannot take more memory than the cap.
+  // Counts bytes that are read but not yet part of a whole request, so that
+  // many slow, large uploads cannot use more memory than the limit.
   template <typename Buffers, typename Handler>
   void async_read_some(const Buffers& buffers, Handler&& handler) {
     Base::async_read_some(
         buffers,
-        [this, own_handler = std::forward<Handler>(handler)](
+        [this, on_read = std::forward<Handler>(handler)](
             const asio::error_code& error, std::size_t length) mutable {
           Current() = this;
           const bool fits = CountRead(length);
-          own_handler(fits ? error : asio::error::no_buffer_space, length);
+          on_read(fits ? error : asio::error::no_buffer_space, length);
           Current() = nullptr;
         });
   }
 
   void shutdown(shutdown_type what, asio::error_code& error) {
-    SettleParsed();
-    if (Farewell::Pending().empty()) {
+    ReleaseUnparsed();
+    if (LingeringClose::PendingResponse().empty()) {
       Base::shutdown(what, error);
       return;
     }
-    std::string text = std::exchange(Farewell::Pending(), {});
-    Farewell::Say(Base(std::move(static_cast<Base&>(*this))), std::move(text));
+    std::string response = std::exchange(LingeringClose::PendingResponse(), {});
+    LingeringClose::Send(Base(std::move(static_cast<Base&>(*this))),
+                         std::move(response));
   }
 
-  // The bytes read so far have become whole requests, or are dropped.
-  void SettleParsed() {
+  // Subtracts the bytes read so far from the shared count: they have become
+  // whole requests, or the connection is closing.
+  void ReleaseUnparsed() {
     if (intake_) intake_->buffered_bytes -= unparsed_;
     unparsed_ = 0;
   }
 
-  // The socket whose read is being handled; it may be gone when the handler
-  // returns, so it is only used inside the handler.
+  // The socket whose read is being handled. It may be destroyed before the
+  // handler returns, so it is only used inside the handler.
   static FrontendSocket*& Current();
-  // Where sockets count. One frontend thread has one intake.
+  // The byte count shared by the sockets of this thread. A frontend thread has
+  // one.
   static std::shared_ptr<HttpIntake>& ThreadIntake();
 
  private:
--- a/src/libhost/http_frontend.cc
+++ b/src/libhost/http_frontend.cc
@@ -17,13 +17,13 @@
 namespace amaranth::pvt {
 namespace {
 
-// The reducer answers every call by its deadline, so RESTinio's own limit is
-// only a last net; an answer by it would carry no verdict.
-constexpr std::chrono::hours kHandlingLimit{24};
+// The reducer answers every call by its deadline, so the timeout of RESTinio is
+// only a last resort: its answer would carry no verdict.
+constexpr std::chrono::hours kHandlingTimeout{24};
 
 class FrontendState;
 
-// RESTinio reports errors of a connection only by its log.
+// RESTinio reports connection errors only through its logger.
 class FrontendLogger {
  public:
   explicit FrontendLogger(FrontendState* state) : state_(state) {}
@@ -77,7 +77,8 @@
   size_t unwritten = 0;
 };
 
-// RESTinio writes a shared buffer without copying it.
+// RESTinio writes a shared buffer without copying it, so the body is not
+// copied.
 class BodyBuffer {
  public:
   explicit BodyBuffer(Body body) : body_(std::move(body)) {}
@@ -89,7 +90,7 @@
 };
 
 struct ParseFailure {
-  std::string_view mark;  // in RESTinio's log text
+  std::string_view text;  // substring of the text that RESTinio logs
   int status;
   Reason reason;
   std::string_view detail;
@@ -105,21 +106,22 @@
     {"HPE_CB_headers_complete", 413, Reason::kTooLarge, "body over the limit"},
     {"HPE_CB_body", 413, Reason::kTooLarge, "body over the limit"},
     {"read socket error: No buffer space", 503, Reason::kTooLarge,
-     "no buffer memory left"},
+     "buffer memory exhausted"},
     {"read socket error: End of file", 400, Reason::kBadRequest,
-     "request cut short"},
+     "request truncated"},
     {"parser error", 400, Reason::kBadRequest, "malformed HTTP"},
 }};
 
 const ParseFailure* FindParseFailure(std::string_view message) {
   for (const ParseFailure& failure : kParseFailures) {
-    if (message.find(failure.mark) != std::string_view::npos) return &failure;
+    if (message.find(failure.text) != std::string_view::npos) return &failure;
   }
   return nullptr;
 }
 
-// "[connection:12] ..." gives 12.
-uint64_t ConnectionOf(std::string_view message) {
+// Returns the id in a prefix such as "[connection:12] ", or 0 without such a
+// prefix.
+uint64_t ParseConnectionId(std::string_view message) {
   constexpr std::string_view kPrefix = "[connection:";
   uint64_t id = 0;
   if (message.substr(0, kPrefix.size()) != kPrefix) return id;
@@ -130,9 +132,9 @@
   return id;
 }
 
-HttpRequest ToRequest(const restinio::request_handle_t& from) {
+HttpRequest ToRequest(const restinio::request_handle_t& handle) {
   HttpRequest request;
-  const restinio::http_request_header_t& header = from->header();
+  const restinio::http_request_header_t& header = handle->header();
   request.method = header.method().c_str();
   request.target = header.request_target();
   request.headers.reserve(header.fields_count());
@@ -140,14 +142,14 @@
     request.headers.push_back({field.name(), field.value()});
   });
   RemoveFramingHeaders(request.headers);
-  // RESTinio gives the body as const, but the request is ours alone: moving it
-  // out saves a second copy of every large body.
-  request.body = Body(std::move(const_cast<std::string&>(from->body())));
+  // RESTinio exposes the body as const, but nothing else uses the request:
+  // moving the body out avoids a second copy of every large body.
+  request.body = Body(std::move(const_cast<std::string&>(handle->body())));
   return request;
 }
 
-// The answer to HEAD has the length of the body that GET would bring, which
-// only the backend server knows.
+// Returns the Content-Length for an answer to HEAD. It is the length of the
+// body that GET would return, which only the backend server knows.
 size_t LengthForHead(const HttpResponse& response) {
   const std::string_view text = FindHeader(response.headers, "Content-Length");
   size_t length = response.body.size();
@@ -155,8 +157,9 @@
   return length;
 }
 
-// The connections and open calls of one frontend. RESTinio's objects hold it
-// alive, so that a connection that outlives the frontend does no harm.
+// The connections and open calls of one frontend. The request handler of the
+// RESTinio server owns a reference, so that connections that outlive the
+// frontend can still use it.
 class FrontendState {
  public:
   FrontendState(HttpFrontendOptions options, std::shared_ptr<HttpIntake> intake,
@@ -169,22 +172,23 @@
   size_t open_calls() const { return calls_.size(); }
   size_t unwritten() const { return unwritten_; }
 
-  restinio::request_handling_status_t Take(
-      const restinio::request_handle_t& from) {
-    if (FrontendSocket::Current()) FrontendSocket::Current()->SettleParsed();
+  restinio::request_handling_status_t OnRequest(
+      const restinio::request_handle_t& handle) {
+    if (FrontendSocket::Current()) FrontendSocket::Current()->ReleaseUnparsed();
     if (stopped_) return restinio::request_rejected();
     const CallId call = intake_->next_call++;
-    const bool upgrade = from->header().connection() ==
+    const bool upgrade = handle->header().connection() ==
                          restinio::http_connection_header_t::upgrade;
-    HttpRequest request = ToRequest(from);
+    HttpRequest request = ToRequest(handle);
     const uint64_t body_bytes = request.body.size();
-    calls_.emplace(call, OpenCall{from, body_bytes});
-    connections_[from->connection_id()].calls.push_back(call);
+    calls_.emplace(call, OpenCall{handle, body_bytes});
+    connections_[handle->connection_id()].calls.push_back(call);
     intake_->buffered_bytes += body_bytes;
     if (upgrade) {
-      Refuse(call, 501, Reason::kBadRequest, "no protocol upgrades here");
+      Refuse(call, 501, Reason::kBadRequest,
+             "protocol upgrades are not supported");
     } else if (intake_->buffered_bytes > intake_->max_buffered_bytes) {
-      Refuse(call, 503, Reason::kTooLarge, "no buffer memory left");
+      Refuse(call, 503, Reason::kTooLarge, "buffer memory exhausted");
     } else {
       hooks_.on_request(call, std::move(request));
     }
@@ -192,8 +196,9 @@
   }
 
   bool Answer(CallId call, const HttpResponse& response) {
-    const bool asked = FindHeader(response.headers, "Connection") == "close";
-    return Write(call, response, closing_ || asked);
+    const bool close_requested =
+        FindHeader(response.headers, "Connection") == "close";
+    return Write(call, response, closing_ || close_requested);
   }
 
   void OnClosed(uint64_t connection_id) {
@@ -203,16 +208,17 @@
     connections_.erase(found);
     unwritten_ -= connection.unwritten;
     for (const CallId call : connection.calls) {
-      Forget(call);
+      RemoveCall(call);
       if (!stopped_) hooks_.on_gone(call);
     }
   }
 
-  // A refusal may only go out where no answer is due or half written: it would
-  // be taken for the answer to an earlier request on that connection.
+  // Sends a refusal only if the connection has no unanswered call and no partly
+  // written answer: the caller would take it for the answer to an earlier
+  // request.
   void OnError(const std::string& message) {
     const ParseFailure* failure = FindParseFailure(message);
-    const auto found = connections_.find(ConnectionOf(message));
+    const auto found = connections_.find(ParseConnectionId(message));
     const size_t calls =
         found == connections_.end() ? 0 : found->second.calls.size();
     if (hooks_.on_error) hooks_.on_error(message, calls);
@@ -221,7 +227,7 @@
         (!found->second.calls.empty() || found->second.unwritten > 0)) {
       return;
     }
-    Farewell::Pending() = SerializeRefusal(MakeRefusal(
+    LingeringClose::PendingResponse() = SerializeRefusal(MakeRefusal(
         failure->status, failure->reason, options_.node_name, failure->detail));
   }
 
@@ -248,7 +254,7 @@
     const auto found = calls_.find(call);
     if (found == calls_.end()) return false;
     const restinio::request_handle_t request = found->second.request;
-    Forget(call);
+    RemoveCall(call);
     Connection& connection = connections_[request->connection_id()];
     connection.calls.erase(
         std::remove(connection.calls.begin(), connection.calls.end(), call),
@@ -256,14 +262,14 @@
     ++connection.unwritten;
     ++unwritten_;
     if (request->header().method() == restinio::http_method_head()) {
-      WriteHead(*request, response, close);
+      WriteHeadResponse(*request, response, close);
     } else {
-      WriteWhole(*request, response, close);
+      WriteResponse(*request, response, close);
     }
     return true;
   }
 
-  void Forget(CallId call) {
+  void RemoveCall(CallId call) {
     const auto found = calls_.find(call);
     if (found == calls_.end()) return;
     intake_->buffered_bytes -= found->second.body_bytes;
@@ -287,7 +293,7 @@
     if (close) builder.connection_close();
   }
 
-  restinio::write_status_cb_t WrittenHook(restinio::connection_id_t id) {
+  restinio::write_status_cb_t MakeWriteCallback(restinio::connection_id_t id) {
     return [this, id](const asio::error_code&) {
       const auto found = connections_.find(id);
       if (found == connections_.end() || found->second.unwritten == 0) return;
@@ -296,21 +302,21 @@
     };
   }
 
-  void WriteWhole(restinio::request_t& request, const HttpResponse& response,
-                  bool close) {
+  void WriteResponse(restinio::request_t& request, const HttpResponse& response,
+                     bool close) {
     auto builder = request.create_response(StatusLine(response));
     AddHeaders(builder, response, close);
     builder.set_body(std::make_shared<BodyBuffer>(response.body));
-    builder.done(WrittenHook(request.connection_id()));
+    builder.done(MakeWriteCallback(request.connection_id()));
   }
 
-  void WriteHead(restinio::request_t& request, const HttpResponse& response,
-                 bool close) {
+  void WriteHeadResponse(restinio::request_t& request,
+                         const HttpResponse& response, bool close) {
     auto builder = request.create_response<restinio::user_controlled_output_t>(
         StatusLine(response));
     AddHeaders(builder, response, close);
     builder.set_content_length(LengthForHead(response));
-    builder.done(WrittenHook(request.connection_id()));
+    builder.done(MakeWriteCallback(request.connection_id()));
   }
 
   HttpFrontendOptions options_;
@@ -339,27 +345,29 @@
 
 namespace {
 
-// Keeps what it is given until the io_context itself goes, after all pending
+// Keeps objects alive until the io_context is destroyed, after all pending
 // handlers. RESTinio's connections point into their server (connection count)
-// and live in handlers; freed with the frontend, the server would be written
-// to by each connection that outlives it: a use after free when the process
-// ends with callers connected.
-class Graveyard : public asio::execution_context::service {
+// and are owned by handlers. If the server were destroyed with the frontend,
+// each connection that outlives it would write to freed memory when the process
+// exits with callers connected.
+class RetainedObjects : public asio::execution_context::service {
  public:
   static asio::execution_context::id id;
 
-  explicit Graveyard(asio::execution_context& context)
+  explicit RetainedObjects(asio::execution_context& context)
       : asio::execution_context::service(context) {}
 
-  void Keep(std::shared_ptr<void> kept) { kept_.push_back(std::move(kept)); }
+  void Retain(std::shared_ptr<void> object) {
+    objects_.push_back(std::move(object));
+  }
 
  private:
   void shutdown() override {}
 
-  std::vector<std::shared_ptr<void>> kept_;
+  std::vector<std::shared_ptr<void>> objects_;
 };
 
-asio::execution_context::id Graveyard::id;
+asio::execution_context::id RetainedObjects::id;
 
 }  // namespace
 
@@ -389,7 +397,7 @@
         .connection_state_listener(
             std::make_shared<FrontendListener>(state.get()))
         .request_handler([state](const restinio::request_handle_t& request) {
-          return state->Take(request);
+          return state->OnRequest(request);
         })
         .acceptor_post_bind_hook([this](asio::ip::tcp::acceptor& acceptor) {
           port_ = acceptor.local_endpoint().port();
@@ -404,14 +412,14 @@
                 .max_field_value_size(options.max_header_bytes)
                 .max_field_count(options.max_header_count)
                 .max_body_size(options.max_body_bytes))
-        // RESTinio stops accepting for good when the process runs out of
-        // sockets; the limit keeps it from ever getting there.
+        // RESTinio stops accepting permanently when the process runs out of
+        // file descriptors; the limit prevents that.
         .max_parallel_connections(options.max_connections)
         .concurrent_accepts_count(4)
         .max_pipelined_requests(options.max_pipelined)
         .read_next_http_message_timelimit(options.read_timeout)
         .write_http_response_timelimit(options.write_timeout)
-        .handle_request_timeout(kHandlingLimit);
+        .handle_request_timeout(kHandlingTimeout);
     return settings;
   }
 
@@ -434,7 +442,7 @@
 
 HttpFrontend::~HttpFrontend() {
   Stop();
-  asio::use_service<Graveyard>(impl_->io()).Keep(impl_);
+  asio::use_service<RetainedObjects>(impl_->io()).Retain(impl_);
 }
 
 uint16_t HttpFrontend::port() const { return impl_->port(); }
--- a/src/libhost/http_frontend.h
+++ b/src/libhost/http_frontend.h
@@ -1,8 +1,9 @@
 #ifndef AMARANTHROUTE_LIBHOST_HTTP_FRONTEND_H_
 #define AMARANTHROUTE_LIBHOST_HTTP_FRONTEND_H_
 
-// An HTTP/1.1 server on a given io_context, one thread. It turns connections
-// into whole requests, and answers them in the order of their connection.
+// An HTTP/1.1 server on a given io_context, single-threaded. It reads whole
+// requests from connections and writes the answers of a connection in the order
+// of its requests.
 
 #include <cstdint>
 #include <functional>
@@ -19,8 +20,9 @@
 
 namespace amaranth::pvt {
 
-// What the frontends of one process share: call ids unique in the process's
-// life, and one cap on the memory that callers can make the node hold.
+// State shared by the frontends of one process: call ids that are unique for
+// the life of the process, and one limit on the memory that callers can make
+// the node hold.
 struct HttpIntake {
   CallId next_call = 1;
   uint64_t buffered_bytes = 0;
@@ -28,30 +30,30 @@
 };
 
 struct HttpFrontendOptions {
-  std::string node_name;  // told in refusals
+  std::string node_name;  // named in refusals
   uint64_t max_body_bytes = 8ull << 20;
   size_t max_url_bytes = 8192;
   size_t max_header_bytes = 16384;  // of one field's name or value
   size_t max_header_count = 100;
   size_t max_connections = 8192;
   size_t max_pipelined = 32;
-  // For an idle connection, and for one whole request to come in.
+  // For an idle connection, and for receiving one whole request.
   std::chrono::milliseconds read_timeout{75'000};
   std::chrono::milliseconds write_timeout{30'000};
 };
 
 struct HttpFrontendHooks {
   std::function<void(CallId, HttpRequest)> on_request;
-  // The connection ended before the answer; a later Answer is dropped.
+  // The connection ended before the answer; a later Answer has no effect.
   std::function<void(CallId)> on_gone;
-  // A connection ended by an error; `open_calls` were not answered. May be
-  // unset.
-  std::function<void(const std::string& what, size_t open_calls)> on_error;
+  // A connection ended with an error; `open_calls` of its calls were not
+  // answered. May be unset.
+  std::function<void(const std::string& message, size_t open_calls)> on_error;
 };
 
 class HttpFrontend {
  public:
-  // Listens at once; throws std::exception if it cannot.
+  // Starts listening; throws std::exception if that fails.
   HttpFrontend(asio::io_context& io, const Endpoint& listen,
                HttpFrontendOptions options, std::shared_ptr<HttpIntake> intake,
                HttpFrontendHooks hooks);
@@ -61,23 +63,25 @@
 
   uint16_t port() const;
 
-  // False if the call is not open here (unknown, gone or answered before). A
-  // field "Connection: close" in the response ends the connection after it.
+  // Sends the answer of a call. Returns false if the call is not open here
+  // (unknown, caller gone or already answered). A field "Connection: close" in
+  // the response closes the connection after the answer.
   bool Answer(CallId call, const HttpResponse& response);
 
-  // Calls not answered yet.
+  // The number of calls not answered yet.
   size_t open_calls() const;
-  // Answers handed to the kernel only in part yet.
+  // The number of answers that the kernel has not yet accepted in full.
   size_t unwritten_answers() const;
 
-  // Every answer from now on closes its connection, so that callers go
-  // elsewhere while this node still answers.
+  // Closes the connection of every later answer, so that callers connect to
+  // other nodes while this node still answers.
   void CloseAfterAnswers();
 
-  // Takes no new connection; every answer from now on closes its connection.
+  // Stops accepting connections, and closes the connection of every later
+  // answer.
   void StopAccepting();
 
-  // No hook is called any more; open calls are forgotten.
+  // Stops accepting and discards all open calls; no hook is called afterwards.
   void Stop();
 
  private:
--- a/src/libhost/http_frontend_test.cc
+++ b/src/libhost/http_frontend_test.cc
@@ -37,7 +37,7 @@
   }
 };
 
-TEST(HttpFrontend, PassesMethodTargetHeadersAndBody) {
+TEST(HttpFrontend, DeliversMethodTargetHeadersAndBody) {
   Open();
   const auto peer = Connect();
   peer->Write(
@@ -53,10 +53,11 @@
   CHECK(request.body.view() == "body");
 }
 
-TEST(HttpFrontend, PipelinedAnswersKeepTheOrderOfTheirRequests) {
-  // Three requests on one connection and one on another; the reducer answers
-  // in the wrong order. Each caller must get its own answer, in its order,
-  // because HTTP/1.1 correlates by order alone.
+TEST(HttpFrontend, PipelinedAnswersKeepRequestOrder) {
+  // Three requests are pipelined on one connection and one is sent on another;
+  // the reducer answers in reverse order. Each caller must get its own answers
+  // in request order, because HTTP/1.1 matches answers to requests by order
+  // alone.
   Open();
   const auto peer = Connect();
   peer->Write(
@@ -80,9 +81,9 @@
   CHECK_EQUAL(0u, intake->buffered_bytes);
 }
 
-TEST(HttpFrontend, DisconnectIsToldAndTheLateAnswerDropped) {
-  // The caller hangs up while its request runs. The reducer hears of it and
-  // may cancel; its late answer must go to nobody.
+TEST(HttpFrontend, DisconnectIsReportedAndLateAnswerIsDropped) {
+  // The caller disconnects while its request runs. The reducer is notified so
+  // that it may cancel; its late answer must not be sent to anyone.
   Open();
   const auto peer = Connect();
   peer->Write("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nxx");
@@ -121,8 +122,8 @@
   CHECK_EQUAL(1u, CountOf(peer->received, "\r\n\r\nHTTP/1.1"));
 }
 
-// What a caller sees for a request that cannot become a call, and that the
-// process lives on: the next connection is served.
+// Checks that a request that cannot become a call is refused with `status` and
+// verdict not-run, and that the next connection is still served.
 static void CheckRefused(HttpFrontend& frontend, asio::io_context& io,
                          std::vector<std::pair<CallId, HttpRequest>>& requests,
                          const std::string& sent, const std::string& status) {
@@ -139,10 +140,10 @@
   CHECK(RunUntil(io, [&] { return CountOf(next->received, "served") == 1; }));
 }
 
-TEST(HttpFrontend, RefusesMalformedAndOversizedRequestsAndLives) {
-  // Garbage, a cut-off request, and each limit exceeded: the caller gets a
-  // status and "not-run" instead of a bare reset, which it would have to take
-  // for "may have run".
+TEST(HttpFrontend, RefusesMalformedAndOversizedRequestsAndKeepsServing) {
+  // For malformed requests and each exceeded limit, the caller gets a status
+  // and "not-run" instead of a connection reset, which it would have to treat
+  // as "may have run".
   HttpFrontendOptions options;
   options.max_body_bytes = 100;
   options.max_url_bytes = 50;
@@ -175,10 +176,10 @@
   CHECK_EQUAL(0u, intake->buffered_bytes);
 }
 
-TEST(HttpFrontend, GarbageBehindACallIsNotItsAnswer) {
-  // A call is open and the same connection then sends garbage. A refusal
-  // would be taken for the answer of the open call, so the connection just
-  // ends, and the reducer hears that the caller is gone.
+TEST(HttpFrontend, GarbageAfterAnOpenCallGetsNoResponse) {
+  // A call is open and the same connection then sends garbage. A refusal would
+  // be taken for the answer to the open call, so the connection is closed
+  // without a response, and the reducer is notified that the caller is gone.
   Open();
   const auto peer = Connect();
   peer->Write("GET /open HTTP/1.1\r\n\r\n\x01garbage\r\n\r\n");
@@ -187,9 +188,10 @@
   CHECK_EQUAL(1u, gone.size());
 }
 
-TEST(HttpFrontend, RefusesAtOnceOverTheMemoryCap) {
-  // Callers hold the node's whole buffer memory. One more body is refused
-  // with 503, not run and Retry-After; once memory is free calls go on.
+TEST(HttpFrontend, RefusesImmediatelyOverTheMemoryLimit) {
+  // Callers use all of the node's buffer memory. One more body is refused with
+  // 503, not run and Retry-After; once memory is free, calls are accepted
+  // again.
   intake->max_buffered_bytes = 1000;
   Open();
   const std::string post =
@@ -208,8 +210,8 @@
   CheckRefused(*frontend, io, requests, "\x01\r\n\r\n", "400");
 }
 
-TEST(HttpFrontend, CountsBodiesStillComingIn) {
-  // Many slow uploads, none of them whole: they hold memory all the same.
+TEST(HttpFrontend, CountsPartiallyReceivedBodies) {
+  // Incomplete bodies of slow uploads count towards the memory limit, too.
   intake->max_buffered_bytes = 1000;
   Open();
   const std::string part =
@@ -238,9 +240,10 @@
 }
 
 TEST(HttpFrontend, ConnectionsMayOutliveTheFrontend) {
-  // The process ends with callers connected, one of them waiting: the
-  // frontend goes first, its connections only with the io_context. They once
-  // wrote into the freed server (found by AddressSanitizer).
+  // The process exits with callers connected, one of them waiting for its
+  // answer. The frontend is destroyed first, its connections only with the
+  // io_context: a server freed with the frontend would be written to by them
+  // (use after free, visible with AddressSanitizer).
   Open();
   const auto idle = Connect();
   const auto waiting = Connect();
@@ -251,7 +254,7 @@
   CHECK_EQUAL(0u, intake->buffered_bytes);
 }
 
-TEST(HttpFrontend, AnswerMayAskToEndTheConnection) {
+TEST(HttpFrontend, ConnectionCloseInAnswerClosesTheConnection) {
   Open();
   const auto peer = Connect();
   peer->Write("GET / HTTP/1.1\r\n\r\n");
@@ -281,7 +284,7 @@
   CHECK(!operators.Answer(requests[0].first, Text("crossed")));
 }
 
-TEST(HttpFrontend, HeaderThatWouldSplitTheAnswerIsLeftOut) {
+TEST(HttpFrontend, HeaderWithLineBreakIsOmittedFromAnswer) {
   Open();
   const auto peer = Connect();
   peer->Write("GET / HTTP/1.1\r\n\r\n");
