--- a/src/libhost/http_client.cc
+++ b/src/libhost/http_client.cc
@@ -24,14 +24,15 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr size_t kMaxSpareTransfers = 256;
+constexpr size_t kMaxIdleTransfers = 256;
 
 void InitialiseCurl() {
   static const CURLcode result = curl_global_init(CURL_GLOBAL_DEFAULT);
-  if (result != CURLE_OK) throw std::runtime_error("libcurl does not start");
+  if (result != CURLE_OK) throw std::runtime_error("cannot initialise libcurl");
 }
 
-// "http://ip:port" for an IP number, else empty: there is no resolver here.
+// Returns "http://ip:port", or an empty string unless `to` has an IP address
+// and a port: names are not resolved.
 std::string BaseUrl(const Endpoint& to) {
   asio::error_code error;
   const asio::ip::address address = asio::ip::make_address(to.ip, error);
@@ -64,8 +65,8 @@
 
   ~Impl() { Stop(); }
 
-  // After this no pending handler does anything: they hold this object alive,
-  // but libcurl's handles are gone.
+  // Removes all transfers. Pending handlers keep this object alive, but do
+  // nothing afterwards because the libcurl handles are gone.
   void Stop() {
     if (multi_ == nullptr) return;
     timer_.cancel();
@@ -73,23 +74,24 @@
       curl_multi_remove_handle(multi_, transfer->easy());
     }
     active_.clear();
-    spare_.clear();
+    idle_transfers_.clear();
     curl_multi_cleanup(std::exchange(multi_, nullptr));
     watches_.clear();
   }
 
   uint64_t Send(const Endpoint& to, HttpRequest request, Duration timeout,
-                const PlatformCredentials* signer, Done done) {
+                const PlatformCredentials* credentials, Done done) {
     const uint64_t id = next_id_++;
-    const std::string& base = BaseOf(to);
-    if (base.empty()) {
-      FailLater(std::move(done), Reason::kConnectFailed);
+    const std::string& base_url = CachedBaseUrl(to);
+    if (base_url.empty()) {
+      PostFailure(std::move(done), Reason::kConnectFailed);
       return id;
     }
     std::unique_ptr<HttpTransfer> transfer = TakeTransfer();
-    if (!transfer->Prepare(base, std::move(request), timeout, signer)) {
-      Spare(std::move(transfer));
-      FailLater(std::move(done), Reason::kBadRequest);
+    if (!transfer->Prepare(base_url, std::move(request), timeout,
+                           credentials)) {
+      Recycle(std::move(transfer));
+      PostFailure(std::move(done), Reason::kBadRequest);
       return id;
     }
     transfer->id = id;
@@ -99,33 +101,34 @@
     adding_ = true;
     curl_multi_add_handle(multi_, easy);
     adding_ = false;
-    Start();
+    StartTransfer();
     return id;
   }
 
-  // libcurl closes a connection whose transfer is removed half-way, so a late
-  // answer on it can reach nobody.
+  // libcurl closes the connection of a transfer that is removed before its end,
+  // so a late answer on it cannot be delivered to another request.
   void Cancel(uint64_t id) {
     const auto found = active_.find(id);
     if (found == active_.end()) return;
     std::unique_ptr<HttpTransfer> transfer = std::move(found->second);
     active_.erase(found);
     curl_multi_remove_handle(multi_, transfer->easy());
-    HttpClientResult result = transfer->GiveUp(Reason::kCancelled);
-    // The caller's own act: "could not connect" would be the wrong reason.
+    HttpClientResult result = transfer->FailureResult(Reason::kCancelled);
+    // FailureResult reports kConnectFailed for an unsent request, which would
+    // be wrong for a cancelled one.
     result.reason = Reason::kCancelled;
     Done done = std::move(transfer->done);
-    Spare(std::move(transfer));
+    Recycle(std::move(transfer));
     asio::post(io_, [done = std::move(done), result = std::move(result)] {
       done(result);
     });
   }
 
-  // libcurl has no call for this. A connection shut down under it fails its
-  // check for life, so it is never chosen again.
+  // libcurl has no function for this. A connection that is shut down here fails
+  // the liveness check of libcurl, so it is not reused.
   void DropIdle(const Endpoint& endpoint) {
     for (const auto& [fd, watch] : watches_) {
-      if (watch->endpoint == endpoint && watch->wants == CURL_POLL_REMOVE) {
+      if (watch->endpoint == endpoint && watch->events == CURL_POLL_REMOVE) {
         ::shutdown(fd, SHUT_RDWR);
       }
     }
@@ -135,70 +138,73 @@
   uint64_t connections_opened() const { return connections_opened_; }
 
  private:
-  // One connection's socket. It stays registered while libcurl keeps the
-  // connection idle: registering anew for each request costs two system calls.
-  struct Watch {
-    explicit Watch(asio::io_context& io) : descriptor(io) {}
+  // The socket of one connection. It stays registered with asio while libcurl
+  // keeps the connection idle, because registering it for each request would
+  // cost two system calls.
+  struct SocketWatch {
+    explicit SocketWatch(asio::io_context& io) : descriptor(io) {}
 
     asio::posix::stream_descriptor descriptor;
     Endpoint endpoint;
-    int wants = CURL_POLL_REMOVE;
-    bool connected = false;  // an answer has been waited for on it
+    int events = CURL_POLL_REMOVE;
+    bool connected = false;  // libcurl has waited for input on it
     bool reading = false;    // an async_wait is pending
     bool writing = false;
   };
-  using WatchPtr = std::shared_ptr<Watch>;
+  using SocketWatchPtr = std::shared_ptr<SocketWatch>;
 
-  const std::string& BaseOf(const Endpoint& to) {
-    const auto found = bases_.find(to);
-    if (found != bases_.end()) return found->second;
-    return bases_.emplace(to, BaseUrl(to)).first->second;
+  const std::string& CachedBaseUrl(const Endpoint& to) {
+    const auto found = base_urls_.find(to);
+    if (found != base_urls_.end()) return found->second;
+    return base_urls_.emplace(to, BaseUrl(to)).first->second;
   }
 
   std::unique_ptr<HttpTransfer> TakeTransfer() {
-    if (spare_.empty()) {
+    if (idle_transfers_.empty()) {
       std::unique_ptr<HttpTransfer> transfer =
           std::make_unique<HttpTransfer>(options_);
       CURL* easy = transfer->easy();
-      curl_easy_setopt(easy, CURLOPT_OPENSOCKETFUNCTION, &Impl::OnOpen);
+      curl_easy_setopt(easy, CURLOPT_OPENSOCKETFUNCTION, &Impl::OnOpenSocket);
       curl_easy_setopt(easy, CURLOPT_OPENSOCKETDATA, this);
-      curl_easy_setopt(easy, CURLOPT_CLOSESOCKETFUNCTION, &Impl::OnClose);
+      curl_easy_setopt(easy, CURLOPT_CLOSESOCKETFUNCTION, &Impl::OnCloseSocket);
       curl_easy_setopt(easy, CURLOPT_CLOSESOCKETDATA, this);
       return transfer;
     }
-    std::unique_ptr<HttpTransfer> transfer = std::move(spare_.back());
-    spare_.pop_back();
+    std::unique_ptr<HttpTransfer> transfer = std::move(idle_transfers_.back());
+    idle_transfers_.pop_back();
     return transfer;
   }
 
-  void Spare(std::unique_ptr<HttpTransfer> transfer) {
+  void Recycle(std::unique_ptr<HttpTransfer> transfer) {
     transfer->Clear();
-    if (spare_.size() < kMaxSpareTransfers) {
-      spare_.push_back(std::move(transfer));
+    if (idle_transfers_.size() < kMaxIdleTransfers) {
+      idle_transfers_.push_back(std::move(transfer));
     }
   }
 
-  void FailLater(Done done, Reason reason) {
+  void PostFailure(Done done, Reason reason) {
     HttpClientResult result;
     result.verdict = Verdict::kNotRun;
     result.reason = reason;
     asio::post(io_, [done = std::move(done), result] { done(result); });
   }
 
-  static curl_socket_t OnOpen(void* self, curlsocktype, curl_sockaddr* to) {
-    return static_cast<Impl*>(self)->Open(*to);
+  static curl_socket_t OnOpenSocket(void* self, curlsocktype,
+                                    curl_sockaddr* to) {
+    return static_cast<Impl*>(self)->OpenSocket(*to);
   }
 
-  curl_socket_t Open(const curl_sockaddr& to) {
+  curl_socket_t OpenSocket(const curl_sockaddr& to) {
     const int fd = ::socket(to.family, to.socktype | SOCK_CLOEXEC, to.protocol);
     if (fd < 0) return CURL_SOCKET_BAD;
-    WatchPtr watch = std::make_shared<Watch>(io_);
-    // libcurl may close one attempt and begin the next under the same number in
-    // one go; it then tells nothing, as it waits for the same as before.
+    SocketWatchPtr watch = std::make_shared<SocketWatch>(io_);
+    // libcurl may close a connection attempt and start the next one with the
+    // same descriptor number in one step. It then reports no change, because it
+    // waits for the same events as before.
     const auto stale = watches_.find(fd);
     if (stale != watches_.end()) {
-      watch->wants = stale->second->wants;
-      Forget(stale);
+      watch->events = stale->second->events;
+      ReleaseWatch(stale);
     }
     asio::ip::tcp::endpoint remote;
     if (to.addrlen <= remote.capacity()) {
@@ -213,8 +219,8 @@
       return CURL_SOCKET_BAD;
     }
     if (options_.silence_limit.count() > 0) {
-      // Unacknowledged bytes are given up after this; without it the system
-      // sends them again for a quarter of an hour.
+      // Closes the connection when sent bytes stay unacknowledged for this
+      // long; by default the system retransmits them for about 15 minutes.
       const unsigned int millis =
           static_cast<unsigned int>(options_.silence_limit.count());
       ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &millis, sizeof millis);
@@ -223,32 +229,34 @@
     }
     ++connections_opened_;
     watches_.emplace(fd, watch);
-    Arm(fd, watch);
+    StartWaits(fd, watch);
     return fd;
   }
 
-  // libcurl closes a socket that never connected by itself, without the call to
-  // OnClose. Kept, its watch would stand for whatever gets the number next: a
-  // caller's connection, which was then shut down without an answer. What never
-  // connected cannot be idle, so that libcurl waits for it no longer means that
-  // it is closed, or about to be.
-  void Forget(std::unordered_map<curl_socket_t, WatchPtr>::iterator found) {
-    const WatchPtr watch = std::move(found->second);
+  // Removes the watch of a socket without closing it. libcurl closes a socket
+  // that never connected by itself, without calling OnCloseSocket. A watch left
+  // behind would refer to whatever gets the descriptor number next: a
+  // connection of a caller was shut down without an answer that way. A socket
+  // that never connected cannot be idle, so when libcurl stops waiting for it,
+  // it is closed or about to be.
+  void ReleaseWatch(
+      std::unordered_map<curl_socket_t, SocketWatchPtr>::iterator found) {
+    const SocketWatchPtr watch = std::move(found->second);
     watches_.erase(found);
-    watch->wants = CURL_POLL_REMOVE;
+    watch->events = CURL_POLL_REMOVE;
     watch->descriptor.release();
   }
 
-  static int OnClose(void* self, curl_socket_t fd) {
-    return static_cast<Impl*>(self)->Close(fd);
+  static int OnCloseSocket(void* self, curl_socket_t fd) {
+    return static_cast<Impl*>(self)->CloseSocket(fd);
   }
 
-  int Close(curl_socket_t fd) {
+  int CloseSocket(curl_socket_t fd) {
     const auto found = watches_.find(fd);
     if (found == watches_.end()) return ::close(fd);
-    const WatchPtr watch = std::move(found->second);
+    const SocketWatchPtr watch = std::move(found->second);
     watches_.erase(found);
-    watch->wants = CURL_POLL_REMOVE;
+    watch->events = CURL_POLL_REMOVE;
     asio::error_code ignored;
     watch->descriptor.close(ignored);
     return 0;
@@ -258,54 +266,54 @@
     Impl& impl = *static_cast<Impl*>(self);
     const auto found = impl.watches_.find(fd);
     if (found == impl.watches_.end()) return 0;
-    Watch& watch = *found->second;
+    SocketWatch& watch = *found->second;
     if (what == CURL_POLL_REMOVE && !watch.connected) {
-      impl.Forget(found);
+      impl.ReleaseWatch(found);
       return 0;
     }
     watch.connected |= what == CURL_POLL_IN || what == CURL_POLL_INOUT;
-    watch.wants = what;
-    impl.Arm(fd, found->second);
+    watch.events = what;
+    impl.StartWaits(fd, found->second);
     return 0;
   }
 
-  static bool Wants(const Watch& watch, int what) {
-    return watch.wants == what || watch.wants == CURL_POLL_INOUT;
+  static bool WaitsFor(const SocketWatch& watch, int what) {
+    return watch.events == what || watch.events == CURL_POLL_INOUT;
   }
 
-  void Arm(curl_socket_t fd, const WatchPtr& watch) {
-    if (Wants(*watch, CURL_POLL_IN) && !watch->reading) {
+  void StartWaits(curl_socket_t fd, const SocketWatchPtr& watch) {
+    if (WaitsFor(*watch, CURL_POLL_IN) && !watch->reading) {
       watch->reading = true;
-      Wait(fd, watch, asio::posix::stream_descriptor::wait_read);
+      StartWait(fd, watch, asio::posix::stream_descriptor::wait_read);
     }
-    if (Wants(*watch, CURL_POLL_OUT) && !watch->writing) {
+    if (WaitsFor(*watch, CURL_POLL_OUT) && !watch->writing) {
       watch->writing = true;
-      Wait(fd, watch, asio::posix::stream_descriptor::wait_write);
+      StartWait(fd, watch, asio::posix::stream_descriptor::wait_write);
     }
   }
 
-  void Wait(curl_socket_t fd, const WatchPtr& watch,
-            asio::posix::stream_descriptor::wait_type type) {
+  void StartWait(curl_socket_t fd, const SocketWatchPtr& watch,
+                 asio::posix::stream_descriptor::wait_type type) {
     watch->descriptor.async_wait(type, [self = shared_from_this(), fd, watch,
                                         type](const asio::error_code& error) {
       self->OnReady(fd, watch, type, error);
     });
   }
 
-  void OnReady(curl_socket_t fd, const WatchPtr& watch,
+  void OnReady(curl_socket_t fd, const SocketWatchPtr& watch,
                asio::posix::stream_descriptor::wait_type type,
                const asio::error_code& error) {
     const bool is_read = type == asio::posix::stream_descriptor::wait_read;
     (is_read ? watch->reading : watch->writing) = false;
     if (multi_ == nullptr || !watch->descriptor.is_open()) return;
     const int what = is_read ? CURL_POLL_IN : CURL_POLL_OUT;
-    if (!Wants(*watch, what)) return;
+    if (!WaitsFor(*watch, what)) return;
     int ready = is_read ? CURL_CSELECT_IN : CURL_CSELECT_OUT;
     if (error) ready = CURL_CSELECT_ERR;
     int running = 0;
     curl_multi_socket_action(multi_, fd, ready, &running);
-    Reap();
-    if (multi_ != nullptr && watch->descriptor.is_open()) Arm(fd, watch);
+    CompleteTransfers();
+    if (multi_ != nullptr && watch->descriptor.is_open()) StartWaits(fd, watch);
   }
 
   static int OnTimer(CURLM*, long millis, void* self) {
@@ -319,52 +327,53 @@
       return;
     }
     if (millis == 0) {
-      if (!adding_) KickSoon();
+      if (!adding_) PostProcessTimeouts();
       return;
     }
     timer_.expires_after(std::chrono::milliseconds(millis));
     timer_.async_wait(
         [self = shared_from_this()](const asio::error_code& error) {
-          if (!error) self->Kick();
+          if (!error) self->ProcessTimeouts();
         });
   }
 
-  // Sends what was just added in this turn, not behind all that is queued for
-  // the next one. What has ended already is told on a later turn, as promised.
-  void Start() {
+  // Sends a transfer that was just added in this turn, instead of after
+  // everything that is queued for the next turn. Transfers that have already
+  // ended are reported on a later turn, as Send promises.
+  void StartTransfer() {
     int running = 0;
     curl_multi_socket_action(multi_, CURL_SOCKET_TIMEOUT, 0, &running);
-    if (static_cast<size_t>(running) < active_.size()) KickSoon();
+    if (static_cast<size_t>(running) < active_.size()) PostProcessTimeouts();
   }
 
-  void KickSoon() {
-    if (kick_pending_) return;
-    kick_pending_ = true;
+  void PostProcessTimeouts() {
+    if (timeouts_posted_) return;
+    timeouts_posted_ = true;
     asio::post(io_, [self = shared_from_this()] {
-      self->kick_pending_ = false;
-      self->Kick();
+      self->timeouts_posted_ = false;
+      self->ProcessTimeouts();
     });
   }
 
-  void Kick() {
+  void ProcessTimeouts() {
     if (multi_ == nullptr) return;
     int running = 0;
     curl_multi_socket_action(multi_, CURL_SOCKET_TIMEOUT, 0, &running);
-    Reap();
+    CompleteTransfers();
   }
 
-  void Reap() {
+  void CompleteTransfers() {
     int queued = 0;
     while (multi_ != nullptr) {
       CURLMsg* message = curl_multi_info_read(multi_, &queued);
       if (message == nullptr) return;
       if (message->msg == CURLMSG_DONE) {
-        End(message->easy_handle, message->data.result);
+        CompleteTransfer(message->easy_handle, message->data.result);
       }
     }
   }
 
-  void End(CURL* easy, CURLcode code) {
+  void CompleteTransfer(CURL* easy, CURLcode code) {
     HttpTransfer* ended = nullptr;
     curl_easy_getinfo(easy, CURLINFO_PRIVATE, &ended);
     const auto found = active_.find(ended->id);
@@ -373,7 +382,7 @@
     HttpClientResult result = transfer->Finish(code);
     curl_multi_remove_handle(multi_, easy);
     Done done = std::move(transfer->done);
-    Spare(std::move(transfer));
+    Recycle(std::move(transfer));
     done(std::move(result));
   }
 
@@ -381,14 +390,14 @@
   HttpClientOptions options_;
   asio::steady_timer timer_;
   CURLM* multi_ = nullptr;
-  bool kick_pending_ = false;
-  bool adding_ = false;  // a transfer, which is started right after
+  bool timeouts_posted_ = false;
+  bool adding_ = false;  // in curl_multi_add_handle; Send starts the transfer
   uint64_t next_id_ = 1;
   uint64_t connections_opened_ = 0;
   std::unordered_map<uint64_t, std::unique_ptr<HttpTransfer>> active_;
-  std::vector<std::unique_ptr<HttpTransfer>> spare_;
-  std::unordered_map<curl_socket_t, WatchPtr> watches_;
-  std::map<Endpoint, std::string> bases_;
+  std::vector<std::unique_ptr<HttpTransfer>> idle_transfers_;
+  std::unordered_map<curl_socket_t, SocketWatchPtr> watches_;
+  std::map<Endpoint, std::string> base_urls_;
 };
 
 HttpClient::HttpClient(asio::io_context& io, const HttpClientOptions& options)
@@ -403,8 +412,10 @@
 
 uint64_t HttpClient::SendSigned(const Endpoint& to, HttpRequest request,
                                 Duration timeout,
-                                const PlatformCredentials& signer, Done done) {
-  return impl_->Send(to, std::move(request), timeout, &signer, std::move(done));
+                                const PlatformCredentials& credentials,
+                                Done done) {
+  return impl_->Send(to, std::move(request), timeout, &credentials,
+                     std::move(done));
 }
 
 void HttpClient::Cancel(uint64_t id) { impl_->Cancel(id); }
--- a/src/libhost/http_client.h
+++ b/src/libhost/http_client.h
@@ -1,9 +1,9 @@
 #ifndef AMARANTHROUTE_LIBHOST_HTTP_CLIENT_H_
 #define AMARANTHROUTE_LIBHOST_HTTP_CLIENT_H_
 
-// An HTTP/1.1 client on a given io_context, one thread, with pooled
-// connections. It sends a request at most once: libcurl would send it again
-// by itself when a pooled connection dies, and so run it twice.
+// An HTTP/1.1 client on a given io_context, single-threaded, with pooled
+// connections. It sends a request at most once: libcurl by itself would resend
+// it when a pooled connection dies, so the request could run twice.
 
 #include <cstdint>
 #include <functional>
@@ -26,19 +26,21 @@
   uint64_t max_response_bytes = 8ull << 20;
   size_t max_response_header_bytes = 65536;
   size_t max_idle_connections = 512;
-  // An idle connection older than this is not used again.
+  // The maximum time that a connection may be idle and still be reused.
   std::chrono::seconds max_idle_age{10};
   std::chrono::milliseconds connect_timeout{1000};
-  // A response that does not repeat this field of its request belongs to
-  // another one: it is not used, and its connection is closed. Empty: no check.
+  // A response that has this header field with another value than its request
+  // belongs to another request: it is not used, and its connection is closed.
+  // If either lacks the field, or the name is empty, there is no check.
   std::string echoed_field;
-  // Take a body that ends with its connection, closed in order, as whole. The
-  // other side must then reset a connection whose answer it breaks off.
+  // Accepts a body that is delimited by the orderly end of its connection as
+  // complete. The server must then reset a connection whose answer it breaks
+  // off.
   bool body_may_end_with_connection = false;
-  // A connection on which the other side acknowledges nothing for this long is
-  // given up, also while it is idle; 0 leaves the system's hours. Shorter than
-  // the time in which a lost connection must be noticed, longer than a burst of
-  // lost packets.
+  // A connection, also an idle one, is closed when the remote end has
+  // acknowledged nothing for about this long; 0 keeps the defaults of the
+  // operating system (hours). It must be shorter than the time within which a
+  // lost connection must be detected, and longer than a burst of packet loss.
   std::chrono::milliseconds silence_limit{0};
 };
 
@@ -47,27 +49,29 @@
   using Done = HttpClientCallback;
 
   HttpClient(asio::io_context& io, const HttpClientOptions& options);
-  // Requests in flight end unanswered.
+  // Discards requests in flight without calling their `done`.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Answers `done` exactly once, on a later turn. Returns an id for Cancel.
+  // Sends a request to an IP address. Calls `done` exactly once, on a later
+  // turn of the io_context, unless the client is destroyed first. Returns an id
+  // for Cancel.
   uint64_t Send(const Endpoint& to, HttpRequest request, Duration timeout,
                 Done done);
-  // Signed by AWS Signature Version 4.
+  // Like Send, with the request signed by AWS Signature Version 4.
   uint64_t SendSigned(const Endpoint& to, HttpRequest request, Duration timeout,
-                      const PlatformCredentials& signer, Done done);
+                      const PlatformCredentials& credentials, Done done);
 
-  // Closes the request's connection; `done` is still called. No effect if the
-  // request has ended.
+  // Closes the connection of the request; `done` is still called, with reason
+  // kCancelled. Has no effect if the request has ended.
   void Cancel(uint64_t id);
 
-  // Idle connections to `endpoint` are not used again.
+  // Closes the idle connections to `endpoint`, so that they are not reused.
   void DropIdle(const Endpoint& endpoint);
 
   size_t in_flight() const;
-  // Connections made in this client's life.
+  // The number of connections opened since the client was created.
   uint64_t connections_opened() const;
 
  private:
--- a/src/libhost/http_client_test.cc
+++ b/src/libhost/http_client_test.cc
@@ -12,7 +12,7 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kRequestTimeout = std::chrono::seconds(10);
 
 bool IsWholeRequest(const RawPeer& peer) {
   const size_t end = peer.received.find("\r\n\r\n");
@@ -23,10 +23,10 @@
   return peer.received.size() >= end + 4 + size;
 }
 
-// Listens, but has no room for another connection: connecting to it hangs.
-class FullListener {
+// A listener with a full backlog: connecting to it hangs.
+class FullBacklogListener {
  public:
-  FullListener() : listener_(::socket(AF_INET, SOCK_STREAM, 0)) {
+  FullBacklogListener() : listener_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -36,28 +36,28 @@
     ::listen(listener_, 0);
     ::getsockname(listener_, generic, &length);
     port_ = ntohs(address.sin_port);
-    for (int& fd : waiting_) {
+    for (int& fd : connecting_) {
       fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      // In progress for ever, which is what it is for.
+      // Stays in progress, which fills the backlog.
       static_cast<void>(::connect(fd, generic, length));
     }
   }
-  ~FullListener() {
+  ~FullBacklogListener() {
     ::close(listener_);
-    for (const int fd : waiting_) ::close(fd);
+    for (const int fd : connecting_) ::close(fd);
   }
-  FullListener(const FullListener&) = delete;
-  FullListener& operator=(const FullListener&) = delete;
+  FullBacklogListener(const FullBacklogListener&) = delete;
+  FullBacklogListener& operator=(const FullBacklogListener&) = delete;
 
   uint16_t port() const { return port_; }
 
  private:
   int listener_;
   uint16_t port_ = 0;
-  std::array<int, 4> waiting_{};
+  std::array<int, 4> connecting_{};
 };
 
-std::string Ok(const std::string& body) {
+std::string OkResponse(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\nX-Server: s\r\n\r\n" + body;
 }
@@ -66,15 +66,16 @@
 
 TEST_GROUP(HttpClient) {
   asio::io_context io;
-  std::vector<std::string> seen;  // requests, whole, in order
+  std::vector<std::string> seen;  // complete requests, in order
   std::vector<HttpClientResult> results;
 
   bool Until(const std::function<bool()>& condition) {
     return RunUntil(io, condition);
   }
 
-  // Answers each whole request by what `answer` makes of it.
-  std::function<void(RawPeer&)> Answering(
+  // Returns a handler that records each complete request and calls `answer`
+  // with it.
+  std::function<void(RawPeer&)> RespondWith(
       const std::function<void(RawPeer&, const std::string&)>& answer) {
     return [this, answer](RawPeer& peer) {
       if (!IsWholeRequest(peer)) return;
@@ -83,7 +84,7 @@
     };
   }
 
-  HttpClient::Done Keep() {
+  HttpClient::Done StoreResult() {
     return [this](HttpClientResult result) {
       results.push_back(std::move(result));
     };
@@ -96,27 +97,27 @@
   // Sends to a server that answers with `text` and then closes.
   HttpClientResult ResultOf(const std::string& text, HttpRequest request,
                             const HttpClientOptions& options = {}) {
-    RawServer server(io, Answering([&](RawPeer& peer, const std::string&) {
+    RawServer server(io, RespondWith([&](RawPeer& peer, const std::string&) {
                        peer.Write(text);
                        io.post([&peer] { peer.Close(); });
                      }));
     HttpClient client(io, options);
     const size_t before = results.size();
-    client.Send({"127.0.0.1", server.port()}, std::move(request), kPatience,
-                Keep());
+    client.Send({"127.0.0.1", server.port()}, std::move(request),
+                kRequestTimeout, StoreResult());
     CHECK(Until([&] { return results.size() == before + 1; }));
     return results.back();
   }
 };
 
 TEST(HttpClient, SendsTheRequestAndReturnsTheWholeResponse) {
-  RawServer server(io, Answering([](RawPeer& peer, const std::string&) {
-                     peer.Write(Ok("hello"));
+  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+                     peer.Write(OkResponse("hello"));
                    }));
   HttpClient client(io, {});
   const Endpoint to{"127.0.0.1", server.port()};
   client.Send(to, {"PUT", "/a/../b?c=%20", {{"X-Id", "7"}}, Body("data")},
-              kPatience, Keep());
+              kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 1; }));
   CHECK(results[0].response.has_value());
   CHECK_EQUAL(200, results[0].response->status);
@@ -131,35 +132,35 @@
 }
 
 TEST(HttpClient, ReusesConnectionsAndDropsIdleOnesWhenAsked) {
-  RawServer server(io, Answering([](RawPeer& peer, const std::string&) {
-                     peer.Write(Ok("x"));
+  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+                     peer.Write(OkResponse("x"));
                    }));
   HttpClient client(io, {});
   const Endpoint to{"127.0.0.1", server.port()};
   for (size_t i = 1; i <= 5; ++i) {
-    client.Send(to, Post("p"), kPatience, Keep());
+    client.Send(to, Post("p"), kRequestTimeout, StoreResult());
     CHECK(Until([&] { return results.size() == i; }));
   }
   CHECK_EQUAL(1u, client.connections_opened());
   client.DropIdle(to);
-  client.Send(to, Post("p"), kPatience, Keep());
+  client.Send(to, Post("p"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 6; }));
   CHECK(results[5].response.has_value());
   CHECK_EQUAL(2u, client.connections_opened());
 }
 
-TEST(HttpClient, AllMethodsGoOutAsTheyAre) {
+TEST(HttpClient, MethodsAreSentUnchanged) {
   RawServer server(
-      io, Answering([](RawPeer& peer, const std::string& request) {
+      io, RespondWith([](RawPeer& peer, const std::string& request) {
         peer.Write(request.substr(0, 4) == "HEAD"
                        ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
-                       : Ok("y"));
+                       : OkResponse("y"));
       }));
   HttpClient client(io, {});
   for (const char* method :
        {"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "GET"}) {
     client.Send({"127.0.0.1", server.port()}, {method, "/m", {}, Body()},
-                kPatience, Keep());
+                kRequestTimeout, StoreResult());
     CHECK(Until([&] { return results.size() == seen.size(); }));
     CHECK(Until([&] { return client.in_flight() == 0; }));
     CHECK_EQUAL(0u, seen.back().find(std::string(method) + " /m HTTP/1.1"));
@@ -168,8 +169,8 @@
   CHECK(FindHeader(results[1].response->headers, "Content-Length") == "9");
 }
 
-TEST(HttpClient, NoConnectionMeansNotRun) {
-  // Nobody listens at the address: no byte of the request has left, so it may
+TEST(HttpClient, FailedConnectionMeansNotRun) {
+  // Nothing listens at the address: no byte of the request was sent, so it may
   // be retried elsewhere even if it is not idempotent.
   uint16_t port = 0;
   {
@@ -177,8 +178,8 @@
     port = server.port();
   }
   HttpClient client(io, {});
-  client.Send({"127.0.0.1", port}, Post("p"), kPatience, Keep());
-  client.Send({"no-number", 80}, Post("p"), kPatience, Keep());
+  client.Send({"127.0.0.1", port}, Post("p"), kRequestTimeout, StoreResult());
+  client.Send({"no-number", 80}, Post("p"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 2; }));
   for (const HttpClientResult& result : results) {
     CHECK(result.verdict == Verdict::kNotRun);
@@ -186,13 +187,14 @@
   }
 }
 
-TEST(HttpClient, PooledConnectionThatDiesRunsThePostOnce) {
-  // The server takes a second request on a pooled connection, runs it, and
-  // dies without an answer. libcurl by itself would send it again on a fresh
-  // connection, and it would run twice. Expected: sent once, may have run.
-  RawServer server(io, Answering([this](RawPeer& peer, const std::string&) {
+TEST(HttpClient, RequestIsNotResentWhenPooledConnectionDies) {
+  // The server receives a second request on a pooled connection, runs it, and
+  // closes the connection without an answer. libcurl by itself would resend it
+  // on a new connection, and it would run twice. It must be sent once, with
+  // verdict may-have-run.
+  RawServer server(io, RespondWith([this](RawPeer& peer, const std::string&) {
                      if (seen.size() == 1) {
-                       peer.Write(Ok("first"));
+                       peer.Write(OkResponse("first"));
                      } else {
                        peer.Close();
                      }
@@ -202,9 +204,10 @@
   for (const char* method : {"POST", "GET", "DELETE"}) {
     seen.clear();
     results.clear();
-    client.Send(to, Post("a"), kPatience, Keep());
+    client.Send(to, Post("a"), kRequestTimeout, StoreResult());
     CHECK(Until([&] { return results.size() == 1; }));
-    client.Send(to, {method, "/second", {}, Body()}, kPatience, Keep());
+    client.Send(to, {method, "/second", {}, Body()}, kRequestTimeout,
+                StoreResult());
     CHECK(Until([&] { return results.size() == 2; }));
     CHECK(!results[1].response.has_value());
     CHECK(results[1].verdict == Verdict::kMayHaveRun);
@@ -214,26 +217,28 @@
 }
 
 TEST(HttpClient, PooledConnectionClosedBeforeTheRequestIsReplaced) {
-  // The server closed the idle connection before the next request: that is
-  // seen before anything is sent, so the request goes on a fresh connection.
-  RawServer server(io, Answering([](RawPeer& peer, const std::string&) {
-                     peer.Write(Ok("z"));
+  // The server closes the idle connection before the next request. That is
+  // detected before anything is sent, so the request is sent on a new
+  // connection.
+  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+                     peer.Write(OkResponse("z"));
                    }));
   HttpClient client(io, {});
   const Endpoint to{"127.0.0.1", server.port()};
-  client.Send(to, Post("a"), kPatience, Keep());
+  client.Send(to, Post("a"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 1; }));
   server.peers[0]->Close();
-  client.Send(to, Post("b"), kPatience, Keep());
+  client.Send(to, Post("b"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 2; }));
   CHECK(results[1].response.has_value());
   CHECK_EQUAL(2u, client.connections_opened());
 }
 
-TEST(HttpClient, TruncatedOrUnboundedBodyIsNeverWhole) {
-  // The server breaks off its answer: by length, inside a chunk, before the
-  // last chunk, or with no length at all, where whole and cut off look the
-  // same. The caller must never get such a body as an answer.
+TEST(HttpClient, TruncatedOrUndelimitedBodyIsAnError) {
+  // The server truncates its answer: short of its length, inside a chunk,
+  // before the last chunk, in its headers, or with no length at all, where
+  // complete and truncated bodies look the same. The caller must never get such
+  // a body as an answer.
   for (const std::string& text : {
            std::string("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
            std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -258,12 +263,13 @@
   CHECK(chunked.response.has_value());
   CHECK(chunked.response->body.view() == "halfmore");
   const HttpClientResult interim = ResultOf(
-      "HTTP/1.1 102 Processing\r\nX-Not: 1\r\n\r\n" + Ok("real"), Post("p"));
+      "HTTP/1.1 102 Processing\r\nX-Not: 1\r\n\r\n" + OkResponse("real"),
+      Post("p"));
   CHECK(interim.response.has_value());
   CHECK(FindHeader(interim.response->headers, "X-Not").empty());
 }
 
-TEST(HttpClient, RedirectIsPassedOnNotFollowed) {
+TEST(HttpClient, RedirectIsReturnedNotFollowed) {
   const HttpClientResult result = ResultOf(
       "HTTP/1.1 302 Found\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n",
       Post("p"));
@@ -272,32 +278,34 @@
   CHECK_EQUAL(1u, seen.size());
 }
 
-TEST(HttpClient, TooLargeAnswerIsGivenUp) {
+TEST(HttpClient, TooLargeAnswerIsAnError) {
   HttpClientOptions options;
   options.max_response_bytes = 100;
   const HttpClientResult result =
-      ResultOf(Ok(std::string(500, 'x')), Post("p"), options);
+      ResultOf(OkResponse(std::string(500, 'x')), Post("p"), options);
   CHECK(result.verdict == Verdict::kMayHaveRun);
   CHECK(result.reason == Reason::kTooLarge);
 }
 
-TEST(HttpClient, NonsenseInsteadOfHttpIsAServerError) {
+TEST(HttpClient, NonHttpResponseIsAServerError) {
   const HttpClientResult result = ResultOf("SSH-2.0-what\r\n\r\n", Post("p"));
   CHECK(!result.response.has_value());
   CHECK(result.verdict == Verdict::kMayHaveRun);
 }
 
-// A caller's connection is closed without an answer. An attempt to connect to a
-// backend server was given up; libcurl closes such a socket by itself, without
-// telling. Its number goes to the next caller's connection, and the client,
-// which took it for its own idle one, shut that down with the server's others.
-TEST(HttpClient, ASocketThatNeverConnectedIsForgottenWithItsNumber) {
-  FullListener full;
+// Guards against closing a connection of a caller without an answer. When an
+// attempt to connect to a backend server is cancelled, libcurl closes the
+// socket by itself without a callback. The descriptor number is then reused for
+// the connection of a caller, and DropIdle would shut that down as an idle
+// connection to the server.
+TEST(HttpClient, UnconnectedSocketIsForgottenOnceClosed) {
+  FullBacklogListener full;
   std::vector<std::array<int, 2>> others(20);
   {
     HttpClient client(io, {});
     const Endpoint to{"127.0.0.1", full.port()};
-    const uint64_t id = client.Send(to, Post("p"), kPatience, Keep());
+    const uint64_t id =
+        client.Send(to, Post("p"), kRequestTimeout, StoreResult());
     CHECK(Until([&] { return client.connections_opened() == 1; }));
     for (int i = 0; i < 20; ++i) io.poll();
     client.Cancel(id);
@@ -316,73 +324,75 @@
   }
 }
 
-TEST(HttpClient, CancelEndsOnceAndTheLateAnswerReachesNobody) {
-  // A request is cancelled while the server works on it; the server then
-  // answers. That answer must not be taken for the next request's.
+TEST(HttpClient, CancelEndsOnceAndLateAnswerIsDiscarded) {
+  // A request is cancelled while the server runs it; the server then answers.
+  // That answer must not be taken for the answer to the next request.
   std::vector<RawPeer*> waiting;
-  RawServer server(io, Answering([&](RawPeer& peer, const std::string&) {
+  RawServer server(io, RespondWith([&](RawPeer& peer, const std::string&) {
                      waiting.push_back(&peer);
                    }));
   HttpClient client(io, {});
   const Endpoint to{"127.0.0.1", server.port()};
-  const uint64_t id = client.Send(to, Post("a"), kPatience, Keep());
+  const uint64_t id =
+      client.Send(to, Post("a"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return waiting.size() == 1; }));
   client.Cancel(id);
   client.Cancel(id);
   CHECK(Until([&] { return results.size() == 1; }));
   CHECK(results[0].verdict == Verdict::kMayHaveRun);
-  waiting[0]->Write(Ok("late"));
-  client.Send(to, Post("b"), kPatience, Keep());
+  waiting[0]->Write(OkResponse("late"));
+  client.Send(to, Post("b"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return waiting.size() == 2; }));
-  waiting[1]->Write(Ok("own"));
+  waiting[1]->Write(OkResponse("own"));
   CHECK(Until([&] { return results.size() == 2; }));
   CHECK(results[1].response->body.view() == "own");
   CHECK_EQUAL(2u, client.connections_opened());
 }
 
 TEST(HttpClient, TimeoutClosesTheConnection) {
-  // The server takes the request and stays silent. After the timeout it may
-  // have run, and its late answer must meet no later request.
-  RawServer server(io, Answering([this](RawPeer& peer, const std::string&) {
-                     if (seen.size() > 1) peer.Write(Ok("own"));
+  // The server receives the request and does not answer. After the timeout the
+  // request may have run, and its late answer must not be taken for the answer
+  // to a later request.
+  RawServer server(io, RespondWith([this](RawPeer& peer, const std::string&) {
+                     if (seen.size() > 1) peer.Write(OkResponse("own"));
                    }));
   HttpClient client(io, {});
   const Endpoint to{"127.0.0.1", server.port()};
-  client.Send(to, Post("a"), std::chrono::milliseconds(30), Keep());
+  client.Send(to, Post("a"), std::chrono::milliseconds(30), StoreResult());
   CHECK(Until([&] { return results.size() == 1; }));
   CHECK(results[0].verdict == Verdict::kMayHaveRun);
   CHECK(results[0].reason == Reason::kConnectionLost);
-  client.Send(to, Post("b"), kPatience, Keep());
+  client.Send(to, Post("b"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 2; }));
   CHECK(results[1].response.has_value());
   CHECK_EQUAL(2u, client.connections_opened());
 }
 
-TEST(HttpClient, HeaderThatWouldSplitTheRequestIsNotSent) {
+TEST(HttpClient, RequestWithLineBreakInHeaderIsNotSent) {
   HttpClient client(io, {});
   client.Send({"127.0.0.1", 1}, {"GET", "/", {{"X", "a\r\nX-Evil: 1"}}, Body()},
-              kPatience, Keep());
+              kRequestTimeout, StoreResult());
   client.Send({"127.0.0.1", 1}, {"GET", "/ HTTP/1.1\r\nX: 1", {}, Body()},
-              kPatience, Keep());
+              kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 2; }));
   CHECK(results[0].verdict == Verdict::kNotRun);
   CHECK(results[1].reason == Reason::kBadRequest);
 }
 
-TEST(HttpClient, SignedRequestCarriesAnAwsSignature) {
-  RawServer server(io, Answering([](RawPeer& peer, const std::string&) {
-                     peer.Write(Ok(""));
+TEST(HttpClient, SignedRequestHasAnAwsSignature) {
+  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+                     peer.Write(OkResponse(""));
                    }));
   HttpClient client(io, {});
   const Endpoint to{"127.0.0.1", server.port()};
   const PlatformCredentials signer{"access", "secret", "local", "s3"};
-  client.SendSigned(to, {"PUT", "/bucket/key", {}, Body("object")}, kPatience,
-                    signer, Keep());
+  client.SendSigned(to, {"PUT", "/bucket/key", {}, Body("object")},
+                    kRequestTimeout, signer, StoreResult());
   CHECK(Until([&] { return results.size() == 1; }));
   CHECK_EQUAL(1u, CountOf(seen[0],
                           "Authorization: AWS4-HMAC-SHA256 "
                           "Credential=access/"));
-  client.Send(to, Post("plain"), kPatience, Keep());
+  client.Send(to, Post("plain"), kRequestTimeout, StoreResult());
   CHECK(Until([&] { return results.size() == 2; }));
   CHECK_EQUAL(0u, CountOf(seen[1], "Authorization"));
 }
--- a/src/libhost/http_transfer.cc
+++ b/src/libhost/http_transfer.cc
@@ -58,20 +58,21 @@
                    static_cast<long>(options_.connect_timeout.count()));
   curl_easy_setopt(easy_, CURLOPT_MAXAGE_CONN,
                    static_cast<long>(options_.max_idle_age.count()));
-  if (options_.silence_limit.count() > 0) SetProbes(options_.silence_limit);
+  if (options_.silence_limit.count() > 0) SetKeepAlive(options_.silence_limit);
 }
 
 bool HttpTransfer::Prepare(const std::string& base_url, HttpRequest request,
                            Duration timeout,
-                           const PlatformCredentials* signer) {
+                           const PlatformCredentials* credentials) {
   request_ = std::move(request);
   if (!IsWritableTarget(request_.target) ||
       !IsWritableTarget(request_.method)) {
     return false;
   }
-  // libcurl rewrites paths in URLs; the request target goes out as it came.
-  // A signature is over the URL, so a signed request has its target there.
-  const bool is_signed = signer != nullptr;
+  // libcurl rewrites paths in URLs, so the request target is set separately and
+  // sent unchanged. A signature covers the URL, so a signed request has its
+  // target in the URL.
+  const bool is_signed = credentials != nullptr;
   SetUrl(is_signed ? base_url + request_.target : base_url);
   curl_easy_setopt(easy_, CURLOPT_REQUEST_TARGET,
                    is_signed ? nullptr : request_.target.c_str());
@@ -79,21 +80,22 @@
   curl_easy_setopt(easy_, CURLOPT_TIMEOUT_MS, static_cast<long>(millis));
   SetMethod();
   if (!SetHeaders()) return false;
-  if (is_signed) SetSigning(*signer);
+  if (is_signed) SetSigning(*credentials);
   return true;
 }
 
-// Two probes a second apart after half of the limit: a peer that is gone
-// without a reset is noticed on an idle connection, too.
-void HttpTransfer::SetProbes(std::chrono::milliseconds limit) {
-  const long seconds = std::max<long>(1, limit.count() / 2000);
+// Enables TCP keep-alive: probes start after half of the timeout (at least 1 s)
+// and follow one second apart, so that a lost remote end that sends no reset is
+// detected on an idle connection, too. HttpClient sets their number to two.
+void HttpTransfer::SetKeepAlive(std::chrono::milliseconds timeout) {
+  const long seconds = std::max<long>(1, timeout.count() / 2000);
   curl_easy_setopt(easy_, CURLOPT_TCP_KEEPALIVE, 1L);
   curl_easy_setopt(easy_, CURLOPT_TCP_KEEPIDLE, seconds);
   curl_easy_setopt(easy_, CURLOPT_TCP_KEEPINTVL, 1L);
 }
 
-// libcurl copies a string at each setting; a handle mostly goes to the same
-// server again.
+// Sets the URL only if it changed: libcurl copies a string each time, and a
+// handle is mostly used for the same server again.
 void HttpTransfer::SetUrl(const std::string& url) {
   if (url_ == url) return;
   url_ = url;
@@ -102,14 +104,15 @@
 
 void HttpTransfer::SetMethod() {
   const std::string_view body = request_.body.view();
-  const bool bodyless = body.empty() && request_.method != "POST" &&
-                        request_.method != "PUT" && request_.method != "PATCH";
+  const bool has_no_body = body.empty() && request_.method != "POST" &&
+                           request_.method != "PUT" &&
+                           request_.method != "PATCH";
   if (request_.method == "HEAD") {
     curl_easy_setopt(easy_, CURLOPT_NOBODY, 1L);
-    SetVerb(nullptr);
+    SetCustomMethod(nullptr);
     return;
   }
-  if (bodyless) {
+  if (has_no_body) {
     curl_easy_setopt(easy_, CURLOPT_HTTPGET, 1L);
   } else {
     curl_easy_setopt(easy_, CURLOPT_POST, 1L);
@@ -118,40 +121,41 @@
     curl_easy_setopt(easy_, CURLOPT_POSTFIELDSIZE_LARGE,
                      static_cast<curl_off_t>(body.size()));
   }
-  SetVerb(request_.method.c_str());
+  SetCustomMethod(request_.method.c_str());
 }
 
-void HttpTransfer::SetVerb(const char* verb) {
-  const std::string_view wanted = verb == nullptr ? "" : verb;
+void HttpTransfer::SetCustomMethod(const char* method) {
+  const std::string_view wanted = method == nullptr ? "" : method;
   if (method_ == wanted) return;
   method_ = wanted;
-  curl_easy_setopt(easy_, CURLOPT_CUSTOMREQUEST, verb);
+  curl_easy_setopt(easy_, CURLOPT_CUSTOMREQUEST, method);
 }
 
 bool HttpTransfer::SetHeaders() {
   header_count_ = 0;
-  // libcurl's own additions are not part of the caller's request.
-  for (const char* added : {"Accept", "Expect", "Content-Type"}) {
-    if (FindHeader(request_.headers, added).empty()) {
-      AppendLine(added, ":", "");
+  // Header fields that libcurl would add by itself are not part of the caller's
+  // request; a line without a value removes them.
+  for (const char* default_field : {"Accept", "Expect", "Content-Type"}) {
+    if (FindHeader(request_.headers, default_field).empty()) {
+      AppendLine(default_field, ":", "");
     }
   }
   for (const Header& header : request_.headers) {
     if (IsFramingHeader(header.name)) continue;
     if (!IsWritableHeader(header)) return false;
-    // "name;" is libcurl's way to write a field with an empty value.
+    // "name;" is the libcurl syntax for a field with an empty value.
     AppendLine(header.name, header.value.empty() ? ";" : ": ", header.value);
   }
   LinkHeaderLines();
   return true;
 }
 
-void HttpTransfer::AppendLine(std::string_view name, std::string_view between,
+void HttpTransfer::AppendLine(std::string_view name, std::string_view separator,
                               std::string_view value) {
   if (header_lines_.size() == header_count_) header_lines_.emplace_back();
   std::string& line = header_lines_[header_count_++];
   line.assign(name);
-  line.append(between);
+  line.append(separator);
   line.append(value);
 }
 
@@ -166,16 +170,16 @@
                    header_count_ > 0 ? header_nodes_.data() : nullptr);
 }
 
-void HttpTransfer::SetSigning(const PlatformCredentials& signer) {
-  signing_text_ = "aws:amz:" + signer.region + ":" + signer.service;
-  signing_user_ = signer.access_key + ":" + signer.secret_key;
-  curl_easy_setopt(easy_, CURLOPT_AWS_SIGV4, signing_text_.c_str());
-  curl_easy_setopt(easy_, CURLOPT_USERPWD, signing_user_.c_str());
+void HttpTransfer::SetSigning(const PlatformCredentials& credentials) {
+  sigv4_provider_ = "aws:amz:" + credentials.region + ":" + credentials.service;
+  sigv4_user_password_ = credentials.access_key + ":" + credentials.secret_key;
+  curl_easy_setopt(easy_, CURLOPT_AWS_SIGV4, sigv4_provider_.c_str());
+  curl_easy_setopt(easy_, CURLOPT_USERPWD, sigv4_user_password_.c_str());
 }
 
-// Called before each sending of the request. libcurl sends again by itself
-// when a pooled connection closes without an answer; the other side may have
-// run the request before it closed, so the second sending is refused here.
+// Called each time before the request is sent. libcurl resends a request by
+// itself when a pooled connection closes without an answer; the server may have
+// run the request before it closed, so a second transmission is aborted here.
 int HttpTransfer::OnSending(void* self, char*, char*, int, int) {
   HttpTransfer& transfer = *static_cast<HttpTransfer*>(self);
   if (transfer.times_sent_ > 0) return CURL_PREREQFUNC_ABORT;
@@ -185,24 +189,25 @@
 
 size_t HttpTransfer::OnHeader(char* data, size_t size, size_t count,
                               void* self) {
-  return static_cast<HttpTransfer*>(self)->TakeHeader(
+  return static_cast<HttpTransfer*>(self)->ProcessHeader(
       std::string_view(data, size * count));
 }
 
-size_t HttpTransfer::TakeHeader(std::string_view line) {
-  responding_ = true;
+size_t HttpTransfer::ProcessHeader(std::string_view line) {
+  response_started_ = true;
   header_bytes_ += line.size();
   if (header_bytes_ > options_.max_response_header_bytes) {
     too_large_ = true;
     return 0;
   }
-  // An interim response (1xx) comes before the real one; only the last counts.
+  // Interim responses (1xx) come before the final one; only the headers of the
+  // last response are kept.
   if (IsStatusLine(line)) {
     response_.headers.clear();
     return line.size();
   }
-  // The empty line ends the headers; a failed callback makes libcurl close the
-  // connection, with whatever else comes on it.
+  // The empty line ends the headers. A callback that returns 0 makes libcurl
+  // close the connection and discard what else arrives on it.
   if (TrimLine(line).empty() && !EchoesRequest()) return 0;
   const size_t colon = line.find(':');
   if (colon != std::string_view::npos) {
@@ -213,8 +218,9 @@
   return line.size();
 }
 
-// A server may send a second answer to an earlier request just where the answer
-// to this one is due. Its caller would get somebody else's answer.
+// Returns false if the response belongs to another request. A server may send a
+// second answer to an earlier request where the answer to this one is due; its
+// caller would receive the answer of another request.
 bool HttpTransfer::EchoesRequest() const {
   if (options_.echoed_field.empty()) return true;
   const std::string_view sent =
@@ -225,13 +231,13 @@
 }
 
 size_t HttpTransfer::OnBody(char* data, size_t size, size_t count, void* self) {
-  return static_cast<HttpTransfer*>(self)->TakeBody(
+  return static_cast<HttpTransfer*>(self)->ProcessBody(
       std::string_view(data, size * count));
 }
 
-size_t HttpTransfer::TakeBody(std::string_view bytes) {
-  if (body_.empty() && !framed_) {
-    framed_ = true;
+size_t HttpTransfer::ProcessBody(std::string_view bytes) {
+  if (body_.empty() && !body_reserved_) {
+    body_reserved_ = true;
     curl_off_t length = -1;
     curl_easy_getinfo(easy_, CURLINFO_CONTENT_LENGTH_DOWNLOAD_T, &length);
     if (length > 0 &&
@@ -258,14 +264,16 @@
 
 HttpClientResult HttpTransfer::Finish(CURLcode code) {
   if (code != CURLE_OK) {
-    return GiveUp(responding_ ? Reason::kServerError : Reason::kConnectionLost);
+    return FailureResult(response_started_ ? Reason::kServerError
+                                           : Reason::kConnectionLost);
   }
   long status = 0;
   curl_easy_getinfo(easy_, CURLINFO_RESPONSE_CODE, &status);
   response_.status = static_cast<int>(status);
-  const bool whole = HasKnownLength() || options_.body_may_end_with_connection;
-  if (status < 200 || status > 999 || !whole) {
-    return GiveUp(Reason::kServerError);
+  const bool is_complete =
+      HasKnownLength() || options_.body_may_end_with_connection;
+  if (status < 200 || status > 999 || !is_complete) {
+    return FailureResult(Reason::kServerError);
   }
   const bool is_head = request_.method == "HEAD";
   const std::string length(
@@ -279,7 +287,7 @@
   return result;
 }
 
-HttpClientResult HttpTransfer::GiveUp(Reason reason) const {
+HttpClientResult HttpTransfer::FailureResult(Reason reason) const {
   HttpClientResult result;
   if (times_sent_ == 0) {
     result.verdict = Verdict::kNotRun;
@@ -292,20 +300,20 @@
 }
 
 void HttpTransfer::Clear() {
-  if (!signing_text_.empty()) {
+  if (!sigv4_provider_.empty()) {
     curl_easy_setopt(easy_, CURLOPT_AWS_SIGV4, nullptr);
     curl_easy_setopt(easy_, CURLOPT_USERPWD, nullptr);
-    signing_text_.clear();
-    signing_user_.clear();
+    sigv4_provider_.clear();
+    sigv4_user_password_.clear();
   }
   request_ = {};
   response_ = {};
   body_ = {};
   header_bytes_ = 0;
   times_sent_ = 0;
-  responding_ = false;
+  response_started_ = false;
   too_large_ = false;
-  framed_ = false;
+  body_reserved_ = false;
   done = nullptr;
 }
 
--- a/src/libhost/http_transfer.h
+++ b/src/libhost/http_transfer.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_LIBHOST_HTTP_TRANSFER_H_
 #define AMARANTHROUTE_LIBHOST_HTTP_TRANSFER_H_
 
-// One request on one libcurl easy handle, and what came of it.
+// One request on one libcurl easy handle, and its result.
 
 #include <curl/curl.h>
 
@@ -15,10 +15,11 @@
 
 namespace amaranth::pvt {
 
-// Reusable: libcurl's set-up of a handle costs more than a request on it.
+// Reusable, because setting up a libcurl handle costs more than a request on
+// it.
 class HttpTransfer {
  public:
-  // `options` are the client's and outlive the transfer.
+  // `options` belong to the client and must outlive the transfer.
   explicit HttpTransfer(const HttpClientOptions& options);
   ~HttpTransfer();
   HttpTransfer(const HttpTransfer&) = delete;
@@ -26,15 +27,17 @@
 
   CURL* easy() const { return easy_; }
 
-  // False if the request cannot be written as HTTP.
+  // Sets up the handle for a request; a non-null `credentials` signs it.
+  // Returns false if the request cannot be written as HTTP.
   bool Prepare(const std::string& base_url, HttpRequest request,
-               Duration timeout, const PlatformCredentials* signer);
+               Duration timeout, const PlatformCredentials* credentials);
 
-  // What is known after libcurl ended the transfer with `code`.
+  // Returns the result after libcurl ended the transfer with `code`.
   HttpClientResult Finish(CURLcode code);
-  // What is known when the transfer is given up from outside.
-  HttpClientResult GiveUp(Reason reason) const;
-  // Frees what the request held.
+  // Returns the result of a transfer that failed or was cancelled. `reason`
+  // applies only if the request was sent and its response was not too large.
+  HttpClientResult FailureResult(Reason reason) const;
+  // Clears the state of the request, so that the transfer can be reused.
   void Clear();
 
   uint64_t id = 0;
@@ -46,41 +49,41 @@
   static int OnSending(void* self, char*, char*, int, int);
 
   void SetFixedOptions();
-  void SetProbes(std::chrono::milliseconds limit);
+  void SetKeepAlive(std::chrono::milliseconds timeout);
   void SetUrl(const std::string& url);
   void SetMethod();
-  void SetVerb(const char* verb);
+  void SetCustomMethod(const char* method);
   void LinkHeaderLines();
   bool SetHeaders();
-  void AppendLine(std::string_view name, std::string_view between,
+  void AppendLine(std::string_view name, std::string_view separator,
                   std::string_view value);
-  void SetSigning(const PlatformCredentials& signer);
-  size_t TakeHeader(std::string_view line);
-  size_t TakeBody(std::string_view bytes);
-  // A body whose end is told only by the end of the connection looks the same
-  // whole and cut short, so it never counts as whole.
+  void SetSigning(const PlatformCredentials& credentials);
+  size_t ProcessHeader(std::string_view line);
+  size_t ProcessBody(std::string_view bytes);
+  // Returns false if only the end of the connection delimits the body: such a
+  // body looks the same whether complete or truncated.
   bool HasKnownLength() const;
   bool EchoesRequest() const;
 
   const HttpClientOptions& options_;
   CURL* easy_;
-  // libcurl reads the list and leaves it to its maker, so the nodes and lines
-  // are ours and are used again: two allocations less for each field.
+  // libcurl only reads the list and does not take ownership. Nodes and lines
+  // are kept and reused, which saves two allocations per field.
   std::vector<curl_slist> header_nodes_;
   std::vector<std::string> header_lines_;
   size_t header_count_ = 0;
   std::string url_;     // as set on the handle
   std::string method_;  // as set on the handle
   HttpRequest request_;
-  std::string signing_text_;
-  std::string signing_user_;
+  std::string sigv4_provider_;
+  std::string sigv4_user_password_;
   HttpResponse response_;
   std::string body_;
   size_t header_bytes_ = 0;
   int times_sent_ = 0;
-  bool responding_ = false;
+  bool response_started_ = false;
   bool too_large_ = false;
-  bool framed_ = false;
+  bool body_reserved_ = false;
 };
 
 }  // namespace amaranth::pvt
--- a/src/libhost/refusal.cc
+++ b/src/libhost/refusal.cc
@@ -14,18 +14,18 @@
 
 HttpResponse MakeRefusal(int status, Reason reason, const std::string& node,
                          std::string_view detail) {
-  const bool worth_a_retry = status == kServiceUnavailable;
+  const bool is_retryable = status == kServiceUnavailable;
   const nlohmann::json body = {
       {"verdict", ToString(Verdict::kNotRun)},
       {"reason", ToString(reason)},
-      {"retry_after_ms", worth_a_retry ? kRetryAfterSeconds * 1000 : 0},
+      {"retry_after_ms", is_retryable ? kRetryAfterSeconds * 1000 : 0},
       {"request_id", ""},
       {"node", node},
       {"detail", detail}};
   HttpResponse response;
   response.status = status;
   response.headers.push_back({"Content-Type", "application/json"});
-  if (worth_a_retry) {
+  if (is_retryable) {
     response.headers.push_back(
         {"Retry-After", std::to_string(kRetryAfterSeconds)});
   }
--- a/src/libhost/refusal.h
+++ b/src/libhost/refusal.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_REFUSAL_H_
 #define AMARANTHROUTE_LIBHOST_REFUSAL_H_
 
-// Answers to requests that never became an event: malformed, or over a limit.
+// Builds responses to requests that are refused before they become events:
+// malformed, or over a limit.
 
 #include <string>
 #include <string_view>
@@ -11,12 +12,12 @@
 
 namespace amaranth::pvt {
 
-// Such a request has never run, and the body says so in the same JSON form as
-// every other failure.
+// Returns a refusal with verdict not-run, in the JSON form of every other
+// failure.
 HttpResponse MakeRefusal(int status, Reason reason, const std::string& node,
                          std::string_view detail);
 
-// The refusal as bytes, ending the connection.
+// Returns the refusal as HTTP/1.1 bytes, with "Connection: close".
 std::string SerializeRefusal(const HttpResponse& refusal);
 
 }  // namespace amaranth::pvt
