--- a/src/libhost/host.cc
+++ b/src/libhost/host.cc
@@ -18,15 +18,15 @@
 namespace amaranth::pvt {
 namespace {
 
-// How often the end of the process looks whether the kernel has taken all
-// answers; for how long is an option.
-constexpr std::chrono::milliseconds kFlushCheck{5};
+// How often the exiting process checks whether the kernel has accepted all
+// answers; HostOptions::flush_limit bounds the wait.
+constexpr std::chrono::milliseconds kFlushCheckPeriod{5};
 
-// The machine's clock counts finer and so overflows sooner than the reducer's;
-// a far alarm is reached in several sleeps.
-constexpr std::chrono::hours kLongestSleep{1};
+// steady_clock has a finer resolution than the reducer's clock and so overflows
+// sooner; a distant alarm is reached in several waits.
+constexpr std::chrono::hours kMaxTimerWait{1};
 
-// The monotonic clock of the machine: the only clock that the reducer sees.
+// The monotonic clock of the machine, the only clock that the reducer sees.
 TimePoint Now() {
   return TimePoint(std::chrono::duration_cast<Duration>(
       std::chrono::steady_clock::now().time_since_epoch()));
@@ -36,7 +36,8 @@
   return std::chrono::steady_clock::time_point(at.time_since_epoch());
 }
 
-// Names the port in the error: "address in use" alone helps nobody.
+// Adds the purpose and endpoint to the error: "address in use" alone does not
+// tell which port is meant.
 template <typename Make>
 auto Bind(const char* what, const Endpoint& listen, Make make) {
   try {
@@ -61,7 +62,8 @@
         signals_(io),
         client_(io, options_.client) {}
 
-  // Hooks hold this object weakly: the shells are its members.
+  // The hooks of the frontends, of peers and of gossip capture `this` unowned:
+  // the objects that hold them are members.
   void Open() {
     intake_ = std::make_shared<HttpIntake>();
     intake_->max_buffered_bytes = options_.max_buffered_bytes;
@@ -82,7 +84,7 @@
     }
     peers_ = Bind("peers", options_.peer_listen, [&] {
       return std::make_unique<PeerTransport>(
-          io_, options_.self, options_.peer_listen, PeerEvents());
+          io_, options_.self, options_.peer_listen, MakePeerHooks());
     });
     gossip_ = Bind("gossip", options_.gossip_listen, [&] {
       return std::make_unique<GossipSocket>(
@@ -104,9 +106,9 @@
   void Start() {
     reducer_ = hooks_.make_reducer(ports_);
     reducing_ = true;
-    CarryOut(reducer_.start(Now()));
+    ExecuteEffects(reducer_.start(Now()));
     started_ = true;
-    Pump();
+    ProcessEvents();
   }
 
   void RequestStop() {
@@ -137,21 +139,21 @@
     if (gossip_) gossip_->Stop();
   }
 
-  void Do(AnswerCaller& effect) {
+  void Execute(AnswerCaller& effect) {
     if (callers_->Answer(effect.call, effect.response)) return;
     if (operators_->Answer(effect.call, effect.response)) return;
     if (announcers_) announcers_->Answer(effect.call, effect.response);
   }
 
-  void Do(SendPeer& effect) {
+  void Execute(SendPeer& effect) {
     peers_->Send(effect.peer, effect.address, std::move(effect.message));
   }
 
-  void Do(ClosePeer& effect) { peers_->Close(effect.peer); }
+  void Execute(ClosePeer& effect) { peers_->Close(effect.peer); }
 
-  void Do(SendGossip& effect) { gossip_->Send(effect.to, effect.message); }
+  void Execute(SendGossip& effect) { gossip_->Send(effect.to, effect.message); }
 
-  void Do(SendServer& effect) {
+  void Execute(SendServer& effect) {
     const uint64_t dispatch = effect.dispatch;
     const uint64_t sent = client_.Send(
         effect.address, std::move(effect.request), effect.timeout,
@@ -164,14 +166,16 @@
     dispatches_.emplace(dispatch, sent);
   }
 
-  void Do(CancelServer& effect) {
+  void Execute(CancelServer& effect) {
     const auto found = dispatches_.find(effect.dispatch);
     if (found != dispatches_.end()) client_.Cancel(found->second);
   }
 
-  void Do(DropIdleConnections& effect) { client_.DropIdle(effect.address); }
+  void Execute(DropIdleConnections& effect) {
+    client_.DropIdle(effect.address);
+  }
 
-  void Do(SendPlatform& effect) {
+  void Execute(SendPlatform& effect) {
     const PlatformOpId op = effect.op;
     if (!hooks_.platform) {
       PlatformReply reply;
@@ -187,22 +191,22 @@
                     });
   }
 
-  // The reducer moves its alarm with almost every event. A timer that is set
-  // to an earlier moment is left alone, and set anew when it comes: moving the
-  // kernel's timer each time costs a system call per event.
-  void Do(WakeAt& effect) {
+  // The reducer moves its alarm with almost every event. A timer that expires
+  // before the new alarm is left alone and set again when it expires: setting
+  // the kernel timer each time would cost a system call per event.
+  void Execute(WakeAt& effect) {
     wake_at_ = effect.at;
     if (wake_at_ < armed_at_) ArmTimer();
   }
 
-  void Do(WriteLog& effect) { log_.Write(Now(), effect); }
+  void Execute(WriteLog& effect) { log_.Write(Now(), effect); }
 
-  void Do(ExitProcess& effect) {
+  void Execute(ExitProcess& effect) {
     restart_above_ = effect.restart_above;
     callers_->StopAccepting();
     operators_->StopAccepting();
     if (announcers_) announcers_->StopAccepting();
-    flush_until_ = std::chrono::steady_clock::now() + options_.flush_limit;
+    flush_deadline_ = std::chrono::steady_clock::now() + options_.flush_limit;
     AwaitFlush();
   }
 
@@ -214,7 +218,7 @@
     hooks.on_request = std::move(on_request);
     hooks.on_gone = [this](CallId call) { Post(CallerGone{call}); };
     hooks.on_error = [this, what](const std::string& error, size_t calls) {
-      // Idle connections end all the time.
+      // Idle connections end all the time and are not logged.
       if (calls == 0) return;
       log_.Write(Now(), {LogLevel::kWarning, what,
                          "Connection with " + std::to_string(calls) +
@@ -226,7 +230,7 @@
     });
   }
 
-  PeerHooks PeerEvents() {
+  PeerHooks MakePeerHooks() {
     PeerHooks hooks;
     hooks.on_message = [this](const NodeRef& peer, PeerMessage message) {
       Post(PeerReceived{peer, std::move(message)});
@@ -247,34 +251,34 @@
     }
   }
 
-  // An effect may bring an event while effects are carried out (an answer to a
-  // connection that just broke). It waits its turn: Reduce is never entered
-  // twice, and effects stay in order.
+  // Executing an effect may cause another event (an answer to a connection that
+  // just broke). It is queued, so that reduce is never re-entered and effects
+  // stay in order.
   void Post(EventBody body) {
     if (stopped_) return;
     events_.push_back(Event{Now(), std::move(body)});
-    if (started_ && !reducing_) Pump();
+    if (started_ && !reducing_) ProcessEvents();
   }
 
-  void Pump() {
+  void ProcessEvents() {
     reducing_ = true;
     while (!events_.empty() && !stopped_) {
       const Event event = std::move(events_.front());
       events_.pop_front();
-      CarryOut(reducer_.reduce(event));
+      ExecuteEffects(reducer_.reduce(event));
     }
     reducing_ = false;
   }
 
-  void CarryOut(Effects effects) {
+  void ExecuteEffects(Effects effects) {
     for (Effect& effect : effects) {
-      std::visit([this](auto& one) { Do(one); }, effect);
+      std::visit([this](auto& body) { Execute(body); }, effect);
     }
   }
 
   void ArmTimer() {
     armed_at_ = wake_at_;
-    const TimePoint at = std::min(wake_at_, Now() + kLongestSleep);
+    const TimePoint at = std::min(wake_at_, Now() + kMaxTimerWait);
     wake_timer_.expires_at(ToSteady(at));
     wake_timer_.async_wait(
         [weak = weak_from_this()](const asio::error_code& error) {
@@ -300,20 +304,20 @@
           const std::shared_ptr<Impl> self = weak.lock();
           if (error || !self) return;
           self->AwaitSignal();
-          if (signal == SIGHUP) return self->RequestReload();
+          if (signal == SIGHUP) return self->LogReloadRequest();
           self->RequestStop();
         });
   }
 
-  // Operators send SIGHUP when a settings file has changed. Unhandled it would
-  // end the process, and callers would see their connections cut.
-  void RequestReload() {
+  // Operators send SIGHUP when a settings file has changed. The default action
+  // would end the process and cut the connections of callers.
+  void LogReloadRequest() {
     log_.Write(Now(), {LogLevel::kInfo, "host",
-                       "Reload asked for by SIGHUP; flags hold for as long as "
-                       "the process runs, settings are watched already."});
+                       "SIGHUP received: flags cannot be reloaded while the "
+                       "process runs; settings are watched all the time."});
   }
 
-  bool Flushed() const {
+  bool IsFlushed() const {
     const size_t announced = announcers_ ? announcers_->unwritten_answers() : 0;
     return callers_->unwritten_answers() + operators_->unwritten_answers() +
                announced ==
@@ -321,12 +325,12 @@
   }
 
   void AwaitFlush() {
-    if (Flushed() || std::chrono::steady_clock::now() > flush_until_) {
+    if (IsFlushed() || std::chrono::steady_clock::now() > flush_deadline_) {
       exited_ = true;
       io_.stop();
       return;
     }
-    flush_timer_.expires_after(kFlushCheck);
+    flush_timer_.expires_after(kFlushCheckPeriod);
     flush_timer_.async_wait(
         [weak = weak_from_this()](const asio::error_code& error) {
           const std::shared_ptr<Impl> self = weak.lock();
@@ -350,14 +354,14 @@
   uint64_t restart_above_ = 0;
 
   asio::steady_timer wake_timer_;
-  TimePoint wake_at_ = kNever;   // as the reducer asked
+  TimePoint wake_at_ = kNever;   // as the reducer requested
   TimePoint armed_at_ = kNever;  // as the timer is set
   asio::steady_timer flush_timer_;
-  std::chrono::steady_clock::time_point flush_until_;
+  std::chrono::steady_clock::time_point flush_deadline_;
   asio::signal_set signals_;
 
   std::shared_ptr<HttpIntake> intake_;
-  std::unordered_map<uint64_t, uint64_t> dispatches_;  // to the client's ids
+  std::unordered_map<uint64_t, uint64_t> dispatches_;  // to ids of client_
   std::unique_ptr<HttpFrontend> callers_;
   std::unique_ptr<HttpFrontend> operators_;
   std::unique_ptr<HttpFrontend> announcers_;
--- a/src/libhost/host.h
+++ b/src/libhost/host.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_HOST_H_
 #define AMARANTHROUTE_LIBHOST_HOST_H_
 
-// Joins the reducer with the I/O shells: turns what the shells see into events
-// with the time, and carries out the effects in order. Decides nothing.
+// Runs the reducer on the I/O components: turns what they report into events
+// with a time stamp, and executes the effects in order. Makes no decisions.
 
 #include <chrono>
 #include <cstdint>
@@ -26,12 +26,13 @@
 
 namespace amaranth::pvt {
 
-// Where to listen; port 0 takes any free one.
+// Addresses to listen on (port 0 selects a free port) and limits.
 struct HostOptions {
   Hello self;
   Endpoint caller_listen;
   Endpoint operator_listen;
-  // Backend servers' announcements; without it they come to the callers' port.
+  // Endpoint for announcements of backend servers; if unset, they arrive on the
+  // callers' port.
   std::optional<Endpoint> announce_listen;
   Endpoint peer_listen;
   Endpoint gossip_listen;
@@ -39,29 +40,31 @@
   uint64_t max_buffered_bytes = 64ull << 20;
   HttpClientOptions client;
   LogSinkOptions log;
-  // How long the end of the process waits for callers that read slowly.
+  // How long the exiting process waits for callers that read their answers
+  // slowly.
   std::chrono::milliseconds flush_limit{5000};
 };
 
-// The ports really bound.
+// The ports that are bound.
 struct HostPorts {
   uint16_t caller = 0;
   uint16_t operators = 0;
   uint16_t peer = 0;
   uint16_t gossip = 0;
-  uint16_t announce = 0;  // 0 if announcements come to the callers' port
+  uint16_t announce = 0;  // 0 if announcements use the callers' port
 };
 
-// What the host drives: a Node, or a fake in tests.
+// The reducer that the host runs: a Node, or a fake in tests.
 struct HostReducer {
   std::function<Effects(TimePoint)> start;
   std::function<Effects(const Event&)> reduce;
 };
 
 struct HostHooks {
-  // Called once, when all ports are bound.
+  // Called once by Start, after all ports are bound.
   std::function<HostReducer(const HostPorts&)> make_reducer;
-  // Ends in one call of the given function; unset means no platform.
+  // Executes a platform request and must call the given function exactly once.
+  // If unset, every platform request is answered as unreachable.
   std::function<void(const PlatformRequest&,
                      std::function<void(PlatformReply)>)>
       platform;
@@ -69,7 +72,7 @@
 
 class Host {
  public:
-  // Binds all ports; throws std::exception naming the first that fails.
+  // Binds all ports; throws std::exception naming the first one that fails.
   Host(asio::io_context& io, HostOptions options, HostHooks hooks);
   ~Host();
   Host(const Host&) = delete;
@@ -77,20 +80,21 @@
 
   const HostPorts& ports() const;
 
-  // Starts the reducer. Events that came before it wait for it.
+  // Starts the reducer. Events that arrived earlier are queued until then.
   void Start();
 
   // The first call asks the reducer to stop gracefully, the second stops the
-  // loop at once. Called on SIGTERM and SIGINT by HandleSignals, which answers
-  // SIGHUP with a line in the log.
+  // event loop immediately. HandleSignals calls it on SIGTERM and SIGINT, and
+  // only logs SIGHUP.
   void RequestStop();
   void HandleSignals();
 
-  // True once the reducer ended the process and all answers are written.
+  // Returns true once the reducer has ended the process and all answers are
+  // written or the flush limit is over.
   bool exited() const;
 
-  // Once it has exited: not 0 if the node is to start again in this process,
-  // with a higher incarnation than this. 0 if it was also asked to stop.
+  // After the exit: if not 0, the node is to be started again in this process
+  // with an incarnation higher than this value. 0 if a stop was requested, too.
   uint64_t restart_above() const;
 
  private:
--- a/src/libhost/host_test.cc
+++ b/src/libhost/host_test.cc
@@ -8,15 +8,15 @@
 
 namespace amaranth::pvt {
 
-// Hosts with a fake reducer: each test says what it makes of an event.
+// Hosts with a fake reducer: each test defines its reaction to events.
 TEST_GROUP(Host) {
   asio::io_context io;
   std::vector<Event> events;
   std::function<Effects(const Event&)> on_event;
   std::vector<LogLevel> logged;
 
-  std::unique_ptr<Host> Make(const std::string& name = "n1",
-                             const Effects& at_start = {}) {
+  std::unique_ptr<Host> MakeHost(const std::string& name = "n1",
+                                 const Effects& start_effects = {}) {
     HostOptions options;
     const Endpoint any{"127.0.0.1", 0};
     options.self = Hello{{name, 1}, "fleet", "dc"};
@@ -25,9 +25,9 @@
     options.peer_listen = any;
     options.gossip_listen = any;
     HostHooks hooks;
-    hooks.make_reducer = [this, at_start](const HostPorts&) {
+    hooks.make_reducer = [this, start_effects](const HostPorts&) {
       HostReducer reducer;
-      reducer.start = [at_start](TimePoint) { return at_start; };
+      reducer.start = [start_effects](TimePoint) { return start_effects; };
       reducer.reduce = [this](const Event& event) {
         events.push_back(event);
         return on_event ? on_event(event) : Effects{};
@@ -38,7 +38,7 @@
   }
 
   template <typename T>
-  std::vector<T> All() const {
+  std::vector<T> EventsOf() const {
     std::vector<T> all;
     for (const Event& event : events) {
       if (std::holds_alternative<T>(event.body)) {
@@ -53,7 +53,7 @@
   }
 };
 
-TEST(Host, CallGoesToABackendServerAndItsAnswerComesBack) {
+TEST(Host, CallIsSentToABackendServerAndAnswered) {
   RawServer server(io, [](RawPeer& peer) {
     peer.Write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nback");
   });
@@ -70,7 +70,7 @@
     }
     return {};
   };
-  const std::unique_ptr<Host> host = Make();
+  const std::unique_ptr<Host> host = MakeHost();
   host->Start();
   const auto peer = RawPeer::Connect(io, host->ports().caller);
   peer->Write("GET /x HTTP/1.1\r\n\r\n");
@@ -78,13 +78,13 @@
   CHECK(events[0].now <= events[1].now);
 }
 
-TEST(Host, OperatorsPortGivesOperatorRequests) {
+TEST(Host, OperatorPortProducesOperatorRequests) {
   on_event = [](const Event& event) -> Effects {
     const auto* call = std::get_if<OperatorRequest>(&event.body);
     if (call == nullptr) return {};
     return {AnswerCaller{call->call, {200, {}, Body("status")}}};
   };
-  const std::unique_ptr<Host> host = Make();
+  const std::unique_ptr<Host> host = MakeHost();
   host->Start();
   const auto peer = RawPeer::Connect(io, host->ports().operators);
   peer->Write("GET /status HTTP/1.1\r\n\r\n");
@@ -92,8 +92,8 @@
 }
 
 TEST(Host, CancelledDispatchEndsInServerFailed) {
-  // The reducer cancels a dispatch whose server stays silent: it must still
-  // hear the end of it, once, with doubt.
+  // The reducer cancels a dispatch whose server does not answer. It must get
+  // exactly one ServerFailed for it, with verdict may-have-run.
   RawServer server(io, nullptr);
   on_event = [&](const Event& event) -> Effects {
     if (std::holds_alternative<CallerRequest>(event.body)) {
@@ -105,7 +105,7 @@
     }
     return {};
   };
-  const std::unique_ptr<Host> host = Make();
+  const std::unique_ptr<Host> host = MakeHost();
   host->Start();
   const auto peer = RawPeer::Connect(io, host->ports().caller);
   peer->Write("GET / HTTP/1.1\r\n\r\n");
@@ -113,20 +113,20 @@
     return !server.peers.empty() && !server.peers[0]->received.empty();
   }));
   peer->Close();
-  CHECK(Until([&] { return All<ServerFailed>().size() == 1; }));
-  CHECK(All<ServerFailed>()[0].verdict == Verdict::kMayHaveRun);
-  CHECK_EQUAL(7u, All<ServerFailed>()[0].dispatch);
+  CHECK(Until([&] { return EventsOf<ServerFailed>().size() == 1; }));
+  CHECK(EventsOf<ServerFailed>()[0].verdict == Verdict::kMayHaveRun);
+  CHECK_EQUAL(7u, EventsOf<ServerFailed>()[0].dispatch);
 }
 
-TEST(Host, WakesAtTheLastMomentAskedFor) {
+TEST(Host, LatestWakeAtReplacesEarlierOnes) {
   const TimePoint soon = FromMicros(1);
-  const Effects starts = {WakeAt{kNever}, WakeAt{soon}};
-  const std::unique_ptr<Host> host = Make("n1", starts);
+  const Effects start_effects = {WakeAt{kNever}, WakeAt{soon}};
+  const std::unique_ptr<Host> host = MakeHost("n1", start_effects);
   host->Start();
-  CHECK(Until([&] { return All<Tick>().size() == 1; }));
+  CHECK(Until([&] { return EventsOf<Tick>().size() == 1; }));
 }
 
-TEST(Host, AlarmMovedToLaterComesOnceAtTheLaterMoment) {
+TEST(Host, PostponedAlarmFiresOnceAtTheLaterTime) {
   on_event = [&](const Event& event) -> Effects {
     if (std::holds_alternative<StopRequested>(event.body)) {
       return {WakeAt{event.now + std::chrono::milliseconds(5)},
@@ -134,24 +134,25 @@
     }
     return {};
   };
-  const std::unique_ptr<Host> host = Make();
+  const std::unique_ptr<Host> host = MakeHost();
   host->Start();
   host->RequestStop();
-  CHECK(Until([&] { return All<Tick>().size() == 1; }));
+  CHECK(Until([&] { return EventsOf<Tick>().size() == 1; }));
   CHECK(events[1].now >= events[0].now + std::chrono::milliseconds(30));
 }
 
-TEST(Host, PlatformThatIsNotThereAnswersUnreachable) {
-  const Effects starts = {SendPlatform{5, TableReadHead{}}};
-  const std::unique_ptr<Host> host = Make("n1", starts);
+TEST(Host, UnsetPlatformAnswersUnreachable) {
+  const Effects start_effects = {SendPlatform{5, TableReadHead{}}};
+  const std::unique_ptr<Host> host = MakeHost("n1", start_effects);
   host->Start();
-  CHECK(Until([&] { return All<PlatformReplied>().size() == 1; }));
-  CHECK(All<PlatformReplied>()[0].reply.status == PlatformStatus::kUnreachable);
+  CHECK(Until([&] { return EventsOf<PlatformReplied>().size() == 1; }));
+  CHECK(EventsOf<PlatformReplied>()[0].reply.status ==
+        PlatformStatus::kUnreachable);
 }
 
-TEST(Host, PeersAndGossipReachEachOther) {
-  const std::unique_ptr<Host> one = Make("n1");
-  const std::unique_ptr<Host> two = Make("n2");
+TEST(Host, PeerMessagesAndGossipAreDelivered) {
+  const std::unique_ptr<Host> one = MakeHost("n1");
+  const std::unique_ptr<Host> two = MakeHost("n2");
   two->Start();
   on_event = [&](const Event& event) -> Effects {
     if (std::holds_alternative<CallerRequest>(event.body)) {
@@ -163,22 +164,22 @@
   one->Start();
   const auto peer = RawPeer::Connect(io, one->ports().caller);
   peer->Write("GET / HTTP/1.1\r\n\r\n");
-  CHECK(Until([&] { return All<GossipReceived>().size() == 1; }));
-  CHECK(Until([&] { return All<PeerReceived>().size() == 1; }));
-  CHECK(All<PeerReceived>()[0].message == PeerMessage(LinkPing{3}));
+  CHECK(Until([&] { return EventsOf<GossipReceived>().size() == 1; }));
+  CHECK(Until([&] { return EventsOf<PeerReceived>().size() == 1; }));
+  CHECK(EventsOf<PeerReceived>()[0].message == PeerMessage(LinkPing{3}));
 }
 
-TEST(Host, ExitWritesEveryAnswerFirst) {
-  // A drain answers the last call and ends the process in the same breath.
-  // The answer is large, so the kernel cannot take it whole: the process must
-  // wait for it, or the caller gets a truncated body.
+TEST(Host, ExitWaitsUntilAnswersAreWritten) {
+  // A drain answers the last call and ends the process in the same turn. The
+  // answer is too large for the kernel to accept at once, so the process must
+  // wait until it is written, or the caller gets a truncated body.
   const std::string large(8u << 20, 'w');
   on_event = [&](const Event& event) -> Effects {
     const auto* call = std::get_if<CallerRequest>(&event.body);
     if (call == nullptr) return {};
     return {AnswerCaller{call->call, {200, {}, Body(large)}}, ExitProcess{}};
   };
-  const std::unique_ptr<Host> host = Make();
+  const std::unique_ptr<Host> host = MakeHost();
   host->Start();
   const auto peer = RawPeer::Connect(io, host->ports().caller);
   peer->Write("GET / HTTP/1.1\r\n\r\n");
@@ -187,18 +188,18 @@
   CHECK_EQUAL(large.size(), CountOf(peer->received, "w"));
 }
 
-TEST(Host, SecondStopRequestEndsTheLoopAtOnce) {
-  const std::unique_ptr<Host> host = Make();
+TEST(Host, SecondStopRequestStopsTheLoopImmediately) {
+  const std::unique_ptr<Host> host = MakeHost();
   host->Start();
   host->RequestStop();
-  CHECK(Until([&] { return All<StopRequested>().size() == 1; }));
+  CHECK(Until([&] { return EventsOf<StopRequested>().size() == 1; }));
   CHECK(!io.stopped());
   host->RequestStop();
   CHECK(io.stopped());
-  CHECK_EQUAL(1u, All<StopRequested>().size());
+  CHECK_EQUAL(1u, EventsOf<StopRequested>().size());
 }
 
-TEST(Host, PortInUseIsNamed) {
+TEST(Host, ErrorNamesThePortInUse) {
   RawServer taken(io, nullptr);
   HostOptions options;
   options.caller_listen = {"127.0.0.1", taken.port()};
@@ -211,16 +212,17 @@
   CHECK(message.find("callers on 127.0.0.1:") != std::string::npos);
 }
 
-// An operator tells all nodes that a settings file has changed: callers see
-// their connections cut, since SIGHUP by itself ends a process.
-TEST(Host, HangupIsLoggedAndEndsNothing) {
-  const std::unique_ptr<Host> host = Make();
+// Operators send SIGHUP to all nodes when a settings file has changed. If the
+// signal were not handled, it would end the process and cut the connections of
+// callers.
+TEST(Host, HangupSignalDoesNotStopTheHost) {
+  const std::unique_ptr<Host> host = MakeHost();
   host->HandleSignals();
   host->Start();
   std::raise(SIGHUP);
   std::raise(SIGTERM);
-  CHECK(Until([this] { return !All<StopRequested>().empty(); }));
-  CHECK_EQUAL(1u, All<StopRequested>().size());
+  CHECK(Until([this] { return !EventsOf<StopRequested>().empty(); }));
+  CHECK_EQUAL(1u, EventsOf<StopRequested>().size());
 }
 
 }  // namespace amaranth::pvt
--- a/src/libhost/platform_bridge.h
+++ b/src/libhost/platform_bridge.h
@@ -1,8 +1,9 @@
 #ifndef AMARANTHROUTE_LIBHOST_PLATFORM_BRIDGE_H_
 #define AMARANTHROUTE_LIBHOST_PLATFORM_BRIDGE_H_
 
-// The platform client on its own HTTP client: a slow platform must not take
-// the connections, or meet the limits, of calls to backend servers.
+// Runs the platform client on an HTTP client of its own, so that a slow
+// platform does not use up the connections, or reach the limits, of calls to
+// backend servers.
 
 #include <functional>
 #include <memory>
@@ -13,7 +14,7 @@
 
 namespace amaranth::pvt {
 
-// Makes calls on `http`, and keeps it alive.
+// Returns a function that sends requests with `http` and keeps it alive.
 inline HttpCall HttpCallOn(const std::shared_ptr<HttpClient>& http) {
   return
       [http](const Endpoint& endpoint, HttpRequest request, Duration timeout,
@@ -33,7 +34,7 @@
       : http_(std::make_shared<HttpClient>(io, HttpClientOptions{})),
         client_(std::move(options), HttpCallOn(http_)) {}
 
-  // Answers `done` once, possibly before it returns.
+  // Calls `done` exactly once, possibly before returning.
   void Call(const PlatformRequest& request,
             std::function<void(PlatformReply)> done) {
     client_.Call(request, std::move(done));
--- a/src/libhost/test_io.h
+++ b/src/libhost/test_io.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_TEST_IO_H_
 #define AMARANTHROUTE_LIBHOST_TEST_IO_H_
 
-// For tests: a raw caller and a raw backend server on loopback, and waiting on
-// conditions instead of on the clock.
+// Test helpers: a raw caller and a raw backend server on loopback, and waiting
+// for a condition instead of a fixed time.
 
 #include <CppUTest/TestHarness.h>
 
@@ -20,13 +20,14 @@
 
 namespace amaranth::pvt {
 
-// Runs the loop until the condition holds. The limit only ends a hung test.
+// Runs the event loop until the condition holds. Returns false after 20 s,
+// which only ends a test that hangs.
 inline bool RunUntil(asio::io_context& io,
                      const std::function<bool()>& condition) {
-  const auto limit =
+  const auto deadline =
       std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!condition()) {
-    if (std::chrono::steady_clock::now() > limit) return false;
+    if (std::chrono::steady_clock::now() > deadline) return false;
     if (io.stopped()) io.restart();
     io.run_one_for(std::chrono::milliseconds(20));
   }
@@ -42,7 +43,7 @@
   return count;
 }
 
-// A TCP connection that gathers all it reads.
+// A TCP connection that collects everything it reads.
 class RawPeer : public std::enable_shared_from_this<RawPeer> {
  public:
   explicit RawPeer(asio::ip::tcp::socket socket) : socket_(std::move(socket)) {}
@@ -70,9 +71,9 @@
   }
 
   void Write(const std::string& text) {
-    auto kept = std::make_shared<std::string>(text);
-    asio::async_write(socket_, asio::buffer(*kept),
-                      [kept](const asio::error_code&, size_t) {});
+    auto buffer = std::make_shared<std::string>(text);
+    asio::async_write(socket_, asio::buffer(*buffer),
+                      [buffer](const asio::error_code&, size_t) {});
   }
 
   void Close() {
@@ -90,7 +91,8 @@
   std::array<char, 65536> buffer_{};
 };
 
-// Accepts connections; `on_data` is called on each with what came so far.
+// Accepts connections. `on_data` is called with a connection each time it has
+// received more.
 class RawServer {
  public:
   RawServer(asio::io_context& io, std::function<void(RawPeer&)> on_data)
