--- a/src/libhost/peer_link.cc
+++ b/src/libhost/peer_link.cc
@@ -5,12 +5,13 @@
 namespace amaranth::pvt {
 namespace {
 
-// A stranger may connect and say anything: until it has greeted, it gets room
-// for a Hello and no more.
+// Largest frame accepted before the peer's Hello. Any host can connect, so a
+// connection without a Hello must not make the node buffer more.
 constexpr size_t kMaxHelloBytes = 4096;
-// So that one busy link does not keep the others waiting.
-constexpr int kReadsPerTurn = 16;
-constexpr size_t kBuffersPerWrite = 64;  // asio passes no more to the kernel
+// Limits how long one busy link delays the others.
+constexpr int kMaxReadsPerWakeup = 16;
+// asio passes at most this many buffers to the kernel in one write.
+constexpr size_t kMaxBuffersPerWrite = 64;
 
 }  // namespace
 
@@ -18,7 +19,7 @@
                    std::shared_ptr<ReadBuffer> buffer, size_t max_queue_bytes,
                    PeerLinkHooks hooks)
     : socket_(std::move(socket)),
-      timer_(socket_.get_executor()),
+      handshake_timer_(socket_.get_executor()),
       buffer_(std::move(buffer)),
       max_queue_bytes_(max_queue_bytes),
       hooks_(std::move(hooks)),
@@ -26,8 +27,8 @@
 
 void PeerLink::Dial(const asio::ip::tcp::endpoint& address, const Hello& self,
                     std::chrono::milliseconds timeout) {
-  StartTimer(timeout);
-  SendGreeting(self);
+  StartHandshakeTimer(timeout);
+  EnqueueHello(self);
   socket_.async_connect(
       address, [link = shared_from_this()](const asio::error_code& error) {
         if (link->state_ == State::kClosed) {
@@ -42,21 +43,22 @@
       });
 }
 
-void PeerLink::Greet(const Hello& self, std::chrono::milliseconds timeout) {
-  StartTimer(timeout);
-  SendGreeting(self);
+void PeerLink::StartHandshake(const Hello& self,
+                              std::chrono::milliseconds timeout) {
+  StartHandshakeTimer(timeout);
+  EnqueueHello(self);
   StartReading();
-  FlushSoon();
+  ScheduleFlush();
 }
 
-bool PeerLink::Queue(PeerMessage& message, std::string frame) {
+bool PeerLink::Enqueue(PeerMessage& message, std::string frame) {
   if (queued_bytes_ + frame.size() > max_queue_bytes_) {
     return false;
   }
   queued_bytes_ += frame.size();
   queue_.push_back(Outgoing{std::move(message), std::move(frame)});
   if (open()) {
-    FlushSoon();
+    ScheduleFlush();
   }
   return true;
 }
@@ -64,18 +66,18 @@
 void PeerLink::Close() {
   state_ = State::kClosed;
   hooks_ = PeerLinkHooks();
-  timer_.cancel();
+  handshake_timer_.cancel();
   asio::error_code ignored;
   socket_.close(ignored);
 }
 
-// The last answers of a node that ends are in the queue when it is told to
-// stop; closed at once they would never leave.
+// When a node stops, its last answers are still in the queue. Closing the
+// connection without a flush would lose them.
 void PeerLink::FlushAndClose() {
   hooks_ = PeerLinkHooks();
   asio::error_code error;
   while (open() && !queue_.empty() && !error) {
-    CountWritten(WriteBatch(error));
+    RemoveWritten(WriteBatch(error));
   }
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, error);
   Close();
@@ -84,9 +86,9 @@
 std::vector<PeerMessage> PeerLink::TakeUnsent() {
   std::vector<PeerMessage> unsent;
   for (size_t i = 0; i < queue_.size(); ++i) {
-    const bool is_greeting = i == 0 && greeting_queued_;
+    const bool is_hello = i == 0 && hello_queued_;
     const bool is_started = i == 0 && head_written_ > 0;
-    if (!is_greeting && !is_started) {
+    if (!is_hello && !is_started) {
       unsent.push_back(std::move(queue_[i].message));
     }
   }
@@ -95,23 +97,25 @@
   return unsent;
 }
 
-// Covers the connection and the greeting. Without it a peer whose host is gone
-// holds its callers for the kernel's two minutes.
-void PeerLink::StartTimer(std::chrono::milliseconds timeout) {
-  timer_.expires_after(timeout);
-  timer_.async_wait([link = shared_from_this()](const asio::error_code& error) {
-    if (!error && link->state_ == State::kGreeting) {
-      link->Fail();
-    }
-  });
+// Limits the time for connecting and for receiving the peer's Hello. Without
+// it, calls to a peer whose host is gone wait for the kernel's connect timeout
+// of two minutes.
+void PeerLink::StartHandshakeTimer(std::chrono::milliseconds timeout) {
+  handshake_timer_.expires_after(timeout);
+  handshake_timer_.async_wait(
+      [link = shared_from_this()](const asio::error_code& error) {
+        if (!error && link->state_ == State::kHandshake) {
+          link->Fail();
+        }
+      });
 }
 
-void PeerLink::SendGreeting(const Hello& self) {
+void PeerLink::EnqueueHello(const Hello& self) {
   const PeerMessage hello = self;
   std::string frame = Frame(EncodePeerMessage(hello));
   queued_bytes_ += frame.size();
   queue_.push_back(Outgoing{hello, std::move(frame)});
-  greeting_queued_ = true;
+  hello_queued_ = true;
 }
 
 void PeerLink::Fail() {
@@ -119,20 +123,20 @@
     return;
   }
   const std::shared_ptr<PeerLink> self = shared_from_this();
-  const std::function<void(PeerLink&)> on_end = hooks_.on_end;
-  on_end(*self);
+  const std::function<void(PeerLink&)> on_disconnected = hooks_.on_disconnected;
+  on_disconnected(*self);
 }
 
-// The options are set once a connection: at each read they would be two system
-// calls of every call.
+// Sets the socket options once per connection. Setting them on each read would
+// cost two system calls per call.
 void PeerLink::StartReading() {
   asio::error_code ignored;
   socket_.non_blocking(true, ignored);
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  WaitForBytes();
+  WaitReadable();
 }
 
-void PeerLink::WaitForBytes() {
+void PeerLink::WaitReadable() {
   socket_.async_wait(
       asio::ip::tcp::socket::wait_read,
       [link = shared_from_this()](const asio::error_code& error) {
@@ -143,12 +147,12 @@
           link->Fail();
           return;
         }
-        link->Read();
+        link->ReadAvailable();
       });
 }
 
-void PeerLink::Read() {
-  for (int i = 0; i < kReadsPerTurn; ++i) {
+void PeerLink::ReadAvailable() {
+  for (int i = 0; i < kMaxReadsPerWakeup; ++i) {
     asio::error_code error;
     const size_t size = socket_.read_some(asio::buffer(*buffer_), error);
     if (error == asio::error::would_block) {
@@ -159,7 +163,7 @@
       return;
     }
     reader_.Append(std::string_view(buffer_->data(), size));
-    TakeFrames();
+    HandleFrames();
     if (state_ == State::kClosed) {
       return;
     }
@@ -167,10 +171,10 @@
       break;
     }
   }
-  WaitForBytes();
+  WaitReadable();
 }
 
-void PeerLink::TakeFrames() {
+void PeerLink::HandleFrames() {
   while (state_ != State::kClosed) {
     const Outcome<std::optional<std::string>> payload = reader_.Next();
     if (!payload) {
@@ -180,32 +184,33 @@
     if (!payload.value()) {
       return;
     }
-    TakePayload(*payload.value());
+    HandlePayload(*payload.value());
   }
 }
 
-// Bytes that are no message of ours mean that the two ends no longer agree on
-// anything: no later frame can be trusted, so the link ends.
-void PeerLink::TakePayload(const std::string& payload) {
+// A payload that does not decode, or a Hello missing or out of place, means
+// that the two ends disagree about the protocol. No later frame can be trusted,
+// so the link is closed.
+void PeerLink::HandlePayload(const std::string& payload) {
   Outcome<PeerMessage> message = DecodePeerMessage(payload);
   if (!message) {
     Fail();
     return;
   }
   const Hello* hello = std::get_if<Hello>(&message.value());
-  const bool hello_due = state_ == State::kGreeting;
-  if ((hello != nullptr) != hello_due) {
+  const bool hello_expected = state_ == State::kHandshake;
+  if ((hello != nullptr) != hello_expected) {
     Fail();
     return;
   }
-  if (hello_due) {
-    TakeHello(*hello);
+  if (hello_expected) {
+    HandleHello(*hello);
     return;
   }
   hooks_.on_message(*this, std::move(message).value());
 }
 
-void PeerLink::TakeHello(const Hello& hello) {
+void PeerLink::HandleHello(const Hello& hello) {
   const std::function<bool(PeerLink&, const Hello&)> on_hello = hooks_.on_hello;
   if (!on_hello(*this, hello)) {
     Fail();
@@ -214,69 +219,70 @@
   node_ = hello.node;
   state_ = State::kOpen;
   opened_ = std::chrono::steady_clock::now();
-  timer_.cancel();
+  handshake_timer_.cancel();
   reader_.set_max_payload(kMaxFrameBytes);
-  FlushSoon();
+  ScheduleFlush();
 }
 
-// At the end of this turn of the loop, so that what one burst of events sends
-// leaves in one write.
-void PeerLink::FlushSoon() {
-  if (flush_due_) {
+// Posts one flush to the event loop, so that the messages which a burst of
+// events sends leave in one write.
+void PeerLink::ScheduleFlush() {
+  if (flush_pending_) {
     return;
   }
-  flush_due_ = true;
+  flush_pending_ = true;
   asio::post(socket_.get_executor(), [link = shared_from_this()] {
-    link->flush_due_ = false;
+    link->flush_pending_ = false;
     link->Flush();
   });
 }
 
 void PeerLink::Flush() {
-  while (MayWrite()) {
+  while (HasWritableFrame()) {
     asio::error_code error;
-    CountWritten(WriteBatch(error));
+    RemoveWritten(WriteBatch(error));
     if (error == asio::error::would_block) {
-      flush_due_ = true;
+      flush_pending_ = true;
       socket_.async_wait(asio::ip::tcp::socket::wait_write,
                          [link = shared_from_this()](const asio::error_code&) {
-                           link->flush_due_ = false;
+                           link->flush_pending_ = false;
                            link->Flush();
                          });
       return;
     }
     if (error) {
-      // What the peer answered before it went is still in the socket.
-      Read();
+      // The receive buffer may still hold answers that the peer sent before
+      // the connection ended.
+      ReadAvailable();
       Fail();
       return;
     }
   }
 }
 
-bool PeerLink::MayWrite() const {
-  const bool writable = open() || (state_ == State::kGreeting &&
-                                   greeting_queued_ && !queue_.empty());
+bool PeerLink::HasWritableFrame() const {
+  const bool writable = open() || (state_ == State::kHandshake &&
+                                   hello_queued_ && !queue_.empty());
   return writable && !queue_.empty();
 }
 
 size_t PeerLink::WriteBatch(asio::error_code& error) {
   const size_t frames = open() ? queue_.size() : 1;
   std::vector<asio::const_buffer> batch;
-  for (size_t i = 0; i < frames && i < kBuffersPerWrite; ++i) {
+  for (size_t i = 0; i < frames && i < kMaxBuffersPerWrite; ++i) {
     batch.push_back(asio::buffer(queue_[i].frame));
   }
   batch[0] += head_written_;
   return socket_.write_some(batch, error);
 }
 
-void PeerLink::CountWritten(size_t bytes) {
+void PeerLink::RemoveWritten(size_t bytes) {
   head_written_ += bytes;
   while (!queue_.empty() && head_written_ >= queue_.front().frame.size()) {
     head_written_ -= queue_.front().frame.size();
     queued_bytes_ -= queue_.front().frame.size();
     queue_.pop_front();
-    greeting_queued_ = false;
+    hello_queued_ = false;
   }
 }
 
--- a/src/libhost/peer_link.h
+++ b/src/libhost/peer_link.h
@@ -1,9 +1,10 @@
 #ifndef AMARANTHROUTE_LIBHOST_PEER_LINK_H_
 #define AMARANTHROUTE_LIBHOST_PEER_LINK_H_
 
-// One TCP connection to a peer: greeting, frames in, a bounded queue of frames
-// out. It knows at any moment which messages the kernel has seen, since it
-// writes by itself when the socket is ready and leaves no write running.
+// One TCP connection to a peer: handshake, incoming frames, and a bounded queue
+// of outgoing frames. Writes are synchronous and non-blocking, made when the
+// socket is writable, so that the link always knows which messages have been
+// handed to the kernel. An asynchronous write would hide that.
 
 #include <asio.hpp>
 #include <chrono>
@@ -20,85 +21,91 @@
 
 class PeerLink;
 
-// Called from the io_context only. The owner may Close() the link inside.
+// Called only from the io_context. on_disconnected may Close() the link.
 struct PeerLinkHooks {
-  // The peer's Hello; false refuses the link.
+  // Called with the peer's Hello; returning false rejects the link.
   std::function<bool(PeerLink&, const Hello&)> on_hello;
   std::function<void(PeerLink&, PeerMessage)> on_message;
-  // The connection failed or ended; not called after Close().
-  std::function<void(PeerLink&)> on_end;
+  // Called when the connection fails or ends; not called after Close().
+  std::function<void(PeerLink&)> on_disconnected;
 };
 
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
  public:
-  // Shared by the links of a transport: one thread reads one link at a time.
+  // Shared by all links of a transport, whose single thread reads one link at a
+  // time.
   using ReadBuffer = std::vector<char>;
 
   PeerLink(asio::ip::tcp::socket socket, std::shared_ptr<ReadBuffer> buffer,
            size_t max_queue_bytes, PeerLinkHooks hooks);
 
-  // For a link that this node dials: connects, then greets.
+  // Connects to the peer and starts the handshake. `timeout` covers both.
   void Dial(const asio::ip::tcp::endpoint& address, const Hello& self,
             std::chrono::milliseconds timeout);
 
-  // For a connection that a peer made: greets at once.
-  void Greet(const Hello& self, std::chrono::milliseconds timeout);
+  // Starts the handshake on a connection accepted from a peer.
+  void StartHandshake(const Hello& self, std::chrono::milliseconds timeout);
 
-  // Queues a message with its frame; false if the queue is full. Nothing but
-  // the greeting leaves before the peer's Hello has come.
-  bool Queue(PeerMessage& message, std::string frame);
+  // Queues a message and its encoded frame. Returns false, leaving `message`
+  // untouched, if the queue is full. Only this node's Hello is sent before the
+  // peer's Hello has been accepted.
+  bool Enqueue(PeerMessage& message, std::string frame);
 
-  // Ends the connection without a call of on_end.
+  // Closes the connection without calling on_disconnected.
   void Close();
 
-  // Hands the kernel what it takes at once, then Close().
+  // Writes as much of the queue as the kernel accepts without blocking, then
+  // closes the connection.
   void FlushAndClose();
 
-  // The messages queued of which no byte was handed to the kernel.
+  // Empties the queue and returns the messages of which no byte was handed to
+  // the kernel.
   std::vector<PeerMessage> TakeUnsent();
 
-  // The peer's Hello was accepted and the connection has not ended.
+  // True once the peer's Hello was accepted, until Close().
   bool open() const { return state_ == State::kOpen; }
-  // As the peer's Hello said; valid once open, as is the moment when it came.
+  // The peer's identity from its Hello, and the time when the Hello was
+  // accepted. Both are valid once the link is open.
   const NodeRef& node() const { return node_; }
   std::chrono::steady_clock::time_point opened() const { return opened_; }
 
  private:
-  enum class State { kGreeting, kOpen, kClosed };
+  enum class State { kHandshake, kOpen, kClosed };
   struct Outgoing {
     PeerMessage message;
     std::string frame;
   };
 
-  void StartTimer(std::chrono::milliseconds timeout);
-  void SendGreeting(const Hello& self);
+  void StartHandshakeTimer(std::chrono::milliseconds timeout);
+  void EnqueueHello(const Hello& self);
   void Fail();
   void StartReading();
-  void WaitForBytes();
-  void Read();
-  void TakeFrames();
-  void TakePayload(const std::string& payload);
-  void TakeHello(const Hello& hello);
-  void FlushSoon();
+  void WaitReadable();
+  void ReadAvailable();
+  void HandleFrames();
+  void HandlePayload(const std::string& payload);
+  void HandleHello(const Hello& hello);
+  void ScheduleFlush();
   void Flush();
-  bool MayWrite() const;
+  bool HasWritableFrame() const;
   size_t WriteBatch(asio::error_code& error);
-  void CountWritten(size_t bytes);
+  void RemoveWritten(size_t bytes);
 
   asio::ip::tcp::socket socket_;
-  asio::steady_timer timer_;
+  asio::steady_timer handshake_timer_;
   std::shared_ptr<ReadBuffer> buffer_;
   size_t max_queue_bytes_;
   PeerLinkHooks hooks_;
-  State state_ = State::kGreeting;
+  State state_ = State::kHandshake;
   NodeRef node_;
   std::chrono::steady_clock::time_point opened_;
   FrameReader reader_;
   std::deque<Outgoing> queue_;
   size_t queued_bytes_ = 0;
   size_t head_written_ = 0;  // bytes of the first frame already written
-  bool greeting_queued_ = false;
-  bool flush_due_ = false;  // a flush is posted, or the socket is full
+  bool hello_queued_ = false;
+  // A flush is posted, or will run when the socket is writable.
+  bool flush_pending_ = false;
 };
 
 }  // namespace amaranth::pvt
--- a/src/libhost/peer_property_test.cc
+++ b/src/libhost/peer_property_test.cc
@@ -13,10 +13,10 @@
 namespace amaranth::pvt {
 namespace {
 
-// One node over its incarnations, and what its hooks were told.
-class Node {
+// A node across its incarnations, with the messages reported to its hooks.
+class TestNode {
  public:
-  Node(asio::io_context& io, std::string name)
+  TestNode(asio::io_context& io, std::string name)
       : io_(io), name_(std::move(name)) {
     Restart();
   }
@@ -24,18 +24,19 @@
   void Restart() {
     transport_.reset();
     ++incarnation_;
-    const uint64_t now = incarnation_;
+    const uint64_t incarnation = incarnation_;
     PeerHooks hooks;
-    hooks.on_message = [this, now](const NodeRef&, const PeerMessage& message) {
-      RC_ASSERT(now == incarnation_);
+    hooks.on_message = [this, incarnation](const NodeRef&,
+                                           const PeerMessage& message) {
+      RC_ASSERT(incarnation == incarnation_);
       received.push_back(std::get<LinkPing>(message).sequence);
     };
     hooks.on_lost = [](const std::string&) {};
     hooks.on_send_failed = [this](const std::string&,
                                   const PeerMessage& message) {
-      const bool first =
+      const bool is_new =
           unsent.insert(std::get<LinkPing>(message).sequence).second;
-      RC_ASSERT(first);
+      RC_ASSERT(is_new);
     };
     transport_ = std::make_unique<PeerTransport>(
         io_, Hello{NodeRef{name_, incarnation_}, "fleet", "dc1"},
@@ -58,7 +59,7 @@
 
 enum class Step { kSend, kSendWithoutAddress, kPoll, kClose, kRestart };
 
-Step AnyStep() {
+Step GenerateStep() {
   return *rc::gen::weightedElement<Step>({{12, Step::kSend},
                                           {4, Step::kSendWithoutAddress},
                                           {8, Step::kPoll},
@@ -66,8 +67,8 @@
                                           {1, Step::kRestart}});
 }
 
-void Do(Step step, Node& node, Node& peer, uint64_t& sequence,
-        asio::io_context& io) {
+void ApplyStep(Step step, TestNode& node, TestNode& peer, uint64_t& sequence,
+               asio::io_context& io) {
   switch (step) {
     case Step::kSend:
       node.transport().Send(peer.name(), peer.address(), LinkPing{++sequence});
@@ -88,21 +89,23 @@
   }
 }
 
-// Until no handler is ready for some turns: what loopback delivers has come.
-void Settle(asio::io_context& io) {
-  constexpr int kIdleTurns = 50;
-  for (int idle = 0; idle < kIdleTurns; ++idle) {
+// Runs handlers until none was ready in kIdlePolls consecutive polls: by then
+// loopback has delivered all messages.
+void RunUntilIdle(asio::io_context& io) {
+  constexpr int kIdlePolls = 50;
+  for (int idle_polls = 0; idle_polls < kIdlePolls; ++idle_polls) {
     io.restart();
     if (io.poll() > 0) {
-      idle = 0;
+      idle_polls = 0;
     }
   }
 }
 
-void RequireHonest(const Node& sender, const Node& receiver) {
-  std::set<uint64_t> seen;
+// Requires that no message arrived twice or was also reported as unsent.
+void CheckDelivery(const TestNode& sender, const TestNode& receiver) {
+  std::set<uint64_t> delivered;
   for (const uint64_t sequence : receiver.received) {
-    RC_ASSERT(seen.insert(sequence).second);
+    RC_ASSERT(delivered.insert(sequence).second);
     RC_ASSERT(sender.unsent.count(sequence) == 0u);
   }
 }
@@ -111,23 +114,25 @@
 
 TEST_GROUP(PeerProperty){};
 
-// Both nodes send, drop their links and restart at any moment. A message that a
-// sender is told was not sent is retried elsewhere, even if it is not
-// idempotent: so it must never have arrived, and none may arrive twice.
+// Both nodes send, close their links and restart at random times. A message
+// that is reported as not sent is retried elsewhere, even if it is not
+// idempotent. It must therefore never have arrived, and no message may arrive
+// twice.
 TEST(PeerProperty, UnsentMessagesNeverArriveAndNoneArrivesTwice) {
   CHECK(rc::check([] {
     asio::io_context io;
-    Node one(io, "n1");
-    Node two(io, "n2");
+    TestNode one(io, "n1");
+    TestNode two(io, "n2");
     uint64_t sequence = 0;
     const int steps = *rc::gen::inRange(1, 200);
     for (int i = 0; i < steps; ++i) {
-      const bool first = *rc::gen::arbitrary<bool>();
-      Do(AnyStep(), first ? one : two, first ? two : one, sequence, io);
+      const bool from_one = *rc::gen::arbitrary<bool>();
+      ApplyStep(GenerateStep(), from_one ? one : two, from_one ? two : one,
+                sequence, io);
     }
-    Settle(io);
-    RequireHonest(one, two);
-    RequireHonest(two, one);
+    RunUntilIdle(io);
+    CheckDelivery(one, two);
+    CheckDelivery(two, one);
     RC_CLASSIFY(!one.received.empty() || !two.received.empty(), "received");
     RC_CLASSIFY(!one.unsent.empty() || !two.unsent.empty(), "unsent");
   }));
--- a/src/libhost/peer_transport.cc
+++ b/src/libhost/peer_transport.cc
@@ -17,15 +17,15 @@
 using asio::ip::tcp;
 
 constexpr size_t kReadBufferBytes = 64u << 10;
-// After a failed accept (no file descriptors left): long enough not to spin,
-// short enough that peers do not give up meanwhile.
-constexpr std::chrono::milliseconds kAcceptPause{100};
+// Delay after a failed accept (for example, no file descriptors left): long
+// enough not to spin, and shorter than the connect timeout of peers.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
 
 tcp::endpoint ToAsio(const Endpoint& endpoint) {
   return {asio::ip::make_address(endpoint.ip), endpoint.port};
 }
 
-std::optional<tcp::endpoint> ToDial(const Endpoint& endpoint) {
+std::optional<tcp::endpoint> ParseDialAddress(const Endpoint& endpoint) {
   asio::error_code error;
   const asio::ip::address ip = asio::ip::make_address(endpoint.ip, error);
   if (error || endpoint.port == 0) {
@@ -46,7 +46,7 @@
         hooks_(std::move(hooks)),
         limits_(limits),
         acceptor_(io, ToAsio(listen)),
-        accept_pause_(io),
+        accept_retry_timer_(io),
         buffer_(std::make_shared<PeerLink::ReadBuffer>(kReadBufferBytes)) {}
 
   void Accept();
@@ -63,26 +63,27 @@
     Link dialled;
     Link accepted;
   };
-  enum class NoticeKind { kMessage, kLost, kSendFailed };
-  struct Notice {
-    NoticeKind kind;
+  enum class NotificationKind { kMessage, kLost, kSendFailed };
+  struct Notification {
+    NotificationKind kind;
     NodeRef peer;
     PeerMessage message;
   };
 
-  void TakeConnection(tcp::socket socket);
+  void AddConnection(tcp::socket socket);
   Link NewLink(tcp::socket socket);
-  Link LinkFor(const std::string& peer, const Endpoint& address);
+  Link FindOrDialLink(const std::string& peer, const Endpoint& address);
   Link Dial(const std::string& peer, const tcp::endpoint& address);
   bool OnHello(PeerLink& link, const Hello& hello);
-  bool MakeRoom(Peer& peer, const PeerLink& link, const Hello& hello);
-  bool GivenUpByPeer(const Peer& peer) const;
-  void OnEnd(PeerLink& link);
-  void LoseOpenLinks(const std::string& name, Peer& peer);
+  bool ReplaceOutdatedLinks(Peer& peer, const PeerLink& link,
+                            const Hello& hello);
+  bool IsAbandonedByPeer(const Peer& peer) const;
+  void OnLinkDisconnected(PeerLink& link);
+  void CloseOpenLinks(const std::string& name, Peer& peer);
   void ReportUnsent(const std::string& name, const Link& link);
-  void Report(NoticeKind kind, NodeRef peer, PeerMessage message);
-  void Deliver();
-  void Tell(Notice& notice);
+  void Notify(NotificationKind kind, NodeRef peer, PeerMessage message);
+  void DeliverNotifications();
+  void CallHook(Notification& notification);
   std::map<std::string, Peer>::iterator FindPeer(const PeerLink& link);
 
   asio::io_context& io_;
@@ -90,59 +91,62 @@
   PeerHooks hooks_;
   const PeerLimits limits_;
   tcp::acceptor acceptor_;
-  asio::steady_timer accept_pause_;
+  asio::steady_timer accept_retry_timer_;
   std::shared_ptr<PeerLink::ReadBuffer> buffer_;
-  std::set<Link> greeting_;  // accepted, no Hello yet
+  std::set<Link> pending_handshakes_;  // accepted, Hello not received
   std::map<std::string, Peer> peers_;
-  // Hooks run from here, in order: on_lost of an earlier incarnation is told
-  // before the first message of the later one, whatever handler saw which.
-  std::deque<Notice> notices_;
+  // Pending hook calls, made in this order. on_lost for an earlier incarnation
+  // thus precedes the first message of the later one, whichever socket handler
+  // ran first.
+  std::deque<Notification> notifications_;
   bool delivery_posted_ = false;
   bool stopped_ = false;
 };
 
 void PeerTransportImpl::Accept() {
-  acceptor_.async_accept([self = shared_from_this()](
-                             const asio::error_code& error,
-                             tcp::socket socket) {
-    if (self->stopped_) {
-      return;
-    }
-    if (!error) {
-      self->TakeConnection(std::move(socket));
-      self->Accept();
-      return;
-    }
-    self->accept_pause_.expires_after(kAcceptPause);
-    self->accept_pause_.async_wait([self](const asio::error_code& cancelled) {
-      if (!cancelled && !self->stopped_) {
-        self->Accept();
-      }
-    });
-  });
+  acceptor_.async_accept(
+      [self = shared_from_this()](const asio::error_code& error,
+                                  tcp::socket socket) {
+        if (self->stopped_) {
+          return;
+        }
+        if (!error) {
+          self->AddConnection(std::move(socket));
+          self->Accept();
+          return;
+        }
+        self->accept_retry_timer_.expires_after(kAcceptRetryDelay);
+        self->accept_retry_timer_.async_wait(
+            [self](const asio::error_code& cancelled) {
+              if (!cancelled && !self->stopped_) {
+                self->Accept();
+              }
+            });
+      });
 }
 
-void PeerTransportImpl::TakeConnection(tcp::socket socket) {
-  // Over the limit the connection is dropped with the socket: silent strangers
-  // must not use up the file descriptors that peers need.
-  if (greeting_.size() >= limits_.max_greeting_links) {
+void PeerTransportImpl::AddConnection(tcp::socket socket) {
+  // Over the limit, the connection is closed with its socket. Connections that
+  // send no Hello must not use up the file descriptors that peers need.
+  if (pending_handshakes_.size() >= limits_.max_pending_handshakes) {
     return;
   }
   const Link link = NewLink(std::move(socket));
-  greeting_.insert(link);
-  link->Greet(self_, limits_.connect_timeout);
+  pending_handshakes_.insert(link);
+  link->StartHandshake(self_, limits_.connect_timeout);
 }
 
 PeerTransportImpl::Link PeerTransportImpl::NewLink(tcp::socket socket) {
-  // Plain pointers: every link is closed, and its hooks dropped, by Stop().
+  // The hooks capture `this` without ownership: Stop() closes every link and so
+  // drops its hooks.
   PeerLinkHooks hooks;
   hooks.on_hello = [this](PeerLink& link, const Hello& hello) {
     return OnHello(link, hello);
   };
   hooks.on_message = [this](PeerLink& link, PeerMessage message) {
-    Report(NoticeKind::kMessage, link.node(), std::move(message));
+    Notify(NotificationKind::kMessage, link.node(), std::move(message));
   };
-  hooks.on_end = [this](PeerLink& link) { OnEnd(link); };
+  hooks.on_disconnected = [this](PeerLink& link) { OnLinkDisconnected(link); };
   return std::make_shared<PeerLink>(std::move(socket), buffer_,
                                     limits_.max_queue_bytes, std::move(hooks));
 }
@@ -155,14 +159,14 @@
   const bool sendable = static_cast<bool>(CheckPeerMessage(message));
   std::string payload = sendable ? EncodePeerMessage(message) : std::string();
   const bool fits = sendable && payload.size() <= kMaxFrameBytes;
-  const Link link = fits ? LinkFor(peer, address) : nullptr;
-  if (!link || !link->Queue(message, Frame(payload))) {
-    Report(NoticeKind::kSendFailed, NodeRef{peer, 0}, std::move(message));
+  const Link link = fits ? FindOrDialLink(peer, address) : nullptr;
+  if (!link || !link->Enqueue(message, Frame(payload))) {
+    Notify(NotificationKind::kSendFailed, NodeRef{peer, 0}, std::move(message));
   }
 }
 
-PeerTransportImpl::Link PeerTransportImpl::LinkFor(const std::string& peer,
-                                                   const Endpoint& address) {
+PeerTransportImpl::Link PeerTransportImpl::FindOrDialLink(
+    const std::string& peer, const Endpoint& address) {
   const std::map<std::string, Peer>::iterator found = peers_.find(peer);
   if (found != peers_.end()) {
     const Peer& links = found->second;
@@ -170,7 +174,7 @@
         links.accepted && !(links.dialled && links.dialled->open());
     return use_accepted ? links.accepted : links.dialled;
   }
-  const std::optional<tcp::endpoint> target = ToDial(address);
+  const std::optional<tcp::endpoint> target = ParseDialAddress(address);
   return target ? Dial(peer, *target) : nullptr;
 }
 
@@ -188,9 +192,9 @@
     return false;
   }
   const Link shared = link.shared_from_this();
-  const bool accepted = greeting_.count(shared) > 0;
-  // A node other than the one dialled (an address given to a new host) must
-  // not get that one's messages.
+  const bool accepted = pending_handshakes_.count(shared) > 0;
+  // The address may since belong to another node, which must not receive the
+  // messages queued for the dialled one.
   if (!accepted) {
     const std::map<std::string, Peer>::iterator dialled = FindPeer(link);
     if (dialled == peers_.end() || dialled->first != name) {
@@ -198,61 +202,63 @@
     }
   }
   Peer& peer = peers_[name];
-  if (!MakeRoom(peer, link, hello)) {
+  if (!ReplaceOutdatedLinks(peer, link, hello)) {
     return false;
   }
   if (accepted) {
-    greeting_.erase(shared);
+    pending_handshakes_.erase(shared);
     peer.accepted = shared;
   }
   return true;
 }
 
-// Of two processes under one name only the later one lives: its Hello ends the
-// links to the earlier one, and an earlier one's comes too late.
-bool PeerTransportImpl::MakeRoom(Peer& peer, const PeerLink& link,
-                                 const Hello& hello) {
+// Closes the peer's open links that the new link makes obsolete. Returns false
+// if the new link belongs to an earlier incarnation than the open links: of two
+// processes with one name, only the later one is running.
+bool PeerTransportImpl::ReplaceOutdatedLinks(Peer& peer, const PeerLink& link,
+                                             const Hello& hello) {
   const bool dialled_open = peer.dialled && peer.dialled->open();
   if (!dialled_open && !peer.accepted) {
     return true;
   }
-  const uint64_t known =
+  const uint64_t known_incarnation =
       (dialled_open ? peer.dialled : peer.accepted)->node().incarnation;
-  if (hello.node.incarnation < known) {
+  if (hello.node.incarnation < known_incarnation) {
     return false;
   }
-  const bool newer = hello.node.incarnation > known;
+  const bool newer = hello.node.incarnation > known_incarnation;
   const bool accepted = peer.dialled.get() != &link;
-  if (newer || (accepted && GivenUpByPeer(peer))) {
-    LoseOpenLinks(hello.node.name, peer);
+  if (newer || (accepted && IsAbandonedByPeer(peer))) {
+    CloseOpenLinks(hello.node.name, peer);
   }
   return true;
 }
 
-// A peer that connects has no link to us that it would use. After a cut we may
-// still hold one that it closed: when the first packet sent there is answered
-// by a reset, the new link would be lost along with it.
-bool PeerTransportImpl::GivenUpByPeer(const Peer& peer) const {
+// Returns whether a peer that connects anew must already have closed its open
+// links. After a network failure this node may still hold a link that the peer
+// closed. The first packet sent on it is answered by a reset, which would close
+// the new link too.
+bool PeerTransportImpl::IsAbandonedByPeer(const Peer& peer) const {
   if (peer.accepted) {
     return true;
   }
   const std::chrono::steady_clock::duration age =
       std::chrono::steady_clock::now() - peer.dialled->opened();
-  return age >= limits_.replace_after;
+  return age >= limits_.min_replace_age;
 }
 
-void PeerTransportImpl::OnEnd(PeerLink& link) {
+void PeerTransportImpl::OnLinkDisconnected(PeerLink& link) {
   const Link shared = link.shared_from_this();
   const std::map<std::string, Peer>::iterator found = FindPeer(link);
   if (found == peers_.end()) {
     link.Close();
-    greeting_.erase(shared);
+    pending_handshakes_.erase(shared);
     return;
   }
   const std::string name = found->first;
   Peer& peer = found->second;
   if (link.open()) {
-    LoseOpenLinks(name, peer);
+    CloseOpenLinks(name, peer);
   } else {
     peer.dialled.reset();
     link.Close();
@@ -263,17 +269,17 @@
   }
 }
 
-// Leaves a link that is still being dialled: nothing was sent on it.
-void PeerTransportImpl::LoseOpenLinks(const std::string& name, Peer& peer) {
-  for (Link* place : {&peer.dialled, &peer.accepted}) {
-    const Link link = *place;
+// Keeps a link that is still being dialled: no message was sent on it.
+void PeerTransportImpl::CloseOpenLinks(const std::string& name, Peer& peer) {
+  for (Link* slot : {&peer.dialled, &peer.accepted}) {
+    const Link link = *slot;
     if (link && link->open()) {
-      place->reset();
+      slot->reset();
       link->Close();
       ReportUnsent(name, link);
     }
   }
-  Report(NoticeKind::kLost, NodeRef{name, 0}, LinkPing{});
+  Notify(NotificationKind::kLost, NodeRef{name, 0}, LinkPing{});
 }
 
 void PeerTransportImpl::Close(const std::string& name) {
@@ -288,47 +294,50 @@
       }
     }
   }
-  Report(NoticeKind::kLost, NodeRef{name, 0}, LinkPing{});
+  Notify(NotificationKind::kLost, NodeRef{name, 0}, LinkPing{});
 }
 
 void PeerTransportImpl::ReportUnsent(const std::string& name,
                                      const Link& link) {
   for (PeerMessage& message : link->TakeUnsent()) {
-    Report(NoticeKind::kSendFailed, NodeRef{name, 0}, std::move(message));
+    Notify(NotificationKind::kSendFailed, NodeRef{name, 0}, std::move(message));
   }
 }
 
-void PeerTransportImpl::Report(NoticeKind kind, NodeRef peer,
+void PeerTransportImpl::Notify(NotificationKind kind, NodeRef peer,
                                PeerMessage message) {
-  notices_.push_back(Notice{kind, std::move(peer), std::move(message)});
+  notifications_.push_back(
+      Notification{kind, std::move(peer), std::move(message)});
   if (delivery_posted_) {
     return;
   }
   delivery_posted_ = true;
-  asio::post(io_, [self = shared_from_this()] { self->Deliver(); });
+  asio::post(io_,
+             [self = shared_from_this()] { self->DeliverNotifications(); });
 }
 
-void PeerTransportImpl::Deliver() {
+void PeerTransportImpl::DeliverNotifications() {
   delivery_posted_ = false;
-  // Only what is there now: a hook that sends to itself would else starve the
-  // sockets.
-  for (size_t left = notices_.size(); left > 0 && !stopped_; --left) {
-    Notice notice = std::move(notices_.front());
-    notices_.pop_front();
-    Tell(notice);
+  // Delivers only what is queued now. A hook that causes further notifications
+  // would otherwise starve the sockets.
+  for (size_t left = notifications_.size(); left > 0 && !stopped_; --left) {
+    Notification notification = std::move(notifications_.front());
+    notifications_.pop_front();
+    CallHook(notification);
   }
 }
 
-void PeerTransportImpl::Tell(Notice& notice) {
-  switch (notice.kind) {
-    case NoticeKind::kMessage:
-      hooks_.on_message(notice.peer, std::move(notice.message));
+void PeerTransportImpl::CallHook(Notification& notification) {
+  switch (notification.kind) {
+    case NotificationKind::kMessage:
+      hooks_.on_message(notification.peer, std::move(notification.message));
       break;
-    case NoticeKind::kLost:
-      hooks_.on_lost(notice.peer.name);
+    case NotificationKind::kLost:
+      hooks_.on_lost(notification.peer.name);
       break;
-    case NoticeKind::kSendFailed:
-      hooks_.on_send_failed(notice.peer.name, std::move(notice.message));
+    case NotificationKind::kSendFailed:
+      hooks_.on_send_failed(notification.peer.name,
+                            std::move(notification.message));
       break;
   }
 }
@@ -348,14 +357,14 @@
     return;
   }
   stopped_ = true;
-  notices_.clear();
+  notifications_.clear();
   asio::error_code ignored;
   acceptor_.close(ignored);
-  accept_pause_.cancel();
-  for (const Link& link : greeting_) {
+  accept_retry_timer_.cancel();
+  for (const Link& link : pending_handshakes_) {
     link->Close();
   }
-  greeting_.clear();
+  pending_handshakes_.clear();
   for (const auto& [name, peer] : peers_) {
     for (const Link& link : {peer.dialled, peer.accepted}) {
       if (link) {
--- a/src/libhost/peer_transport.h
+++ b/src/libhost/peer_transport.h
@@ -1,17 +1,18 @@
 #ifndef AMARANTHROUTE_LIBHOST_PEER_TRANSPORT_H_
 #define AMARANTHROUTE_LIBHOST_PEER_TRANSPORT_H_
 
-// TCP links to the other nodes, one thread, on a given io_context.
+// TCP links to the other nodes, run by the single thread of an io_context.
 //
-// Which link a message takes: any open link to that peer's name, the one that
-// this node dialled first; with none open, a link is dialled and messages wait
-// for the peer's Hello. So an answer goes back on the link its request came on,
-// and if that link is gone it dials the address, or fails if there is none.
+// A message is sent on an open link to the named peer, preferring the link that
+// this node dialled over one that the peer dialled. If no link is open, one is
+// dialled, and messages wait for the peer's Hello. An answer therefore needs no
+// address while a link to the peer is open; without one, the given address is
+// dialled, or the send fails if the address is unknown.
 //
-// A peer is connected or lost as a whole: when one of its links ends, the
-// others are closed too and on_lost comes once. Before on_lost comes
-// on_send_failed for every message of which no byte was handed to the kernel,
-// so that the reducer can settle those as not run first.
+// A peer is connected or lost as a whole: when one of its open links ends, the
+// other open link is closed too, and on_lost is called once. Before on_lost,
+// on_send_failed is called for every message on these links of which no byte
+// was handed to the kernel, so that the reducer first records those as not run.
 
 #include <chrono>
 #include <cstdint>
@@ -30,51 +31,56 @@
 
 class PeerTransportImpl;
 
-// Called from the io_context only, never from inside Send, Close or Stop.
+// Called only from the io_context, never from inside Send, Close or Stop.
 struct PeerHooks {
   std::function<void(const NodeRef&, PeerMessage)> on_message;
-  // The link to the peer ended, or the peer came back with a new incarnation.
-  // Whatever was handed to the link and not answered may have run.
+  // The link to the peer ended, was replaced or was closed by Close(), or the
+  // peer connected with a later incarnation. Messages that were handed to the
+  // kernel and not answered may have run.
   std::function<void(const std::string& peer)> on_lost;
-  // Proved not sent: no byte of it was handed to the kernel.
+  // The message was certainly not sent: no byte of it was handed to the kernel.
   std::function<void(const std::string& peer, PeerMessage)> on_send_failed;
 };
 
 struct PeerLimits {
-  // For the connection and the peer's Hello together.
+  // Limits connecting and waiting for the peer's Hello together.
   std::chrono::milliseconds connect_timeout{1000};
-  // Queued on one link, in bytes; over it a message is refused as not sent.
+  // Bytes of frames queued on one link. A message that would exceed it fails
+  // with on_send_failed.
   size_t max_queue_bytes = 64u << 20;
-  // A peer that connects to us this long after our own link to it opened has
-  // given that link up, as it would else have used it. Sooner, both may have
-  // dialled at once, and both links stay.
-  std::chrono::milliseconds replace_after{1000};
-  // Connections accepted that have not yet said Hello.
-  size_t max_greeting_links = 256;
+  // Age from which an open link dialled by this node is replaced when its peer
+  // connects: the peer would have used that link had it not closed it. A
+  // younger link stays beside the new one, as both nodes may have dialled at
+  // once.
+  std::chrono::milliseconds min_replace_age{1000};
+  // Accepted connections whose Hello has not arrived; further ones are closed.
+  size_t max_pending_handshakes = 256;
 };
 
 class PeerTransport {
  public:
-  // Listens at once; throws std::system_error if it cannot.
+  // Starts listening. Throws std::system_error if that fails.
   PeerTransport(asio::io_context& io, Hello self, const Endpoint& listen,
                 PeerHooks hooks, PeerLimits limits = {});
   ~PeerTransport();
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  // The port listened on.
+  // The port that the transport listens on.
   uint16_t port() const { return port_; }
 
-  // Ends in nothing, on_send_failed or on_lost. A port of 0 in `address` means
-  // that the address is unknown: without an open link the send fails.
+  // Queues a message to the peer. A failure is reported by on_send_failed, or
+  // by on_lost if part of the message was handed to the kernel. A port of 0 in
+  // `address` means that the address is unknown: the send then fails unless a
+  // link to the peer exists.
   void Send(const std::string& peer, const Endpoint& address,
             PeerMessage message);
 
-  // Drops every link to the peer; on_lost follows in any case.
+  // Closes every link to the peer. on_lost follows even if there was none.
   void Close(const std::string& peer);
 
-  // Hands the kernel what it takes at once of what was sent, and closes
-  // everything; no hook is called any more.
+  // Writes as many queued messages as the kernel accepts without blocking and
+  // closes all links. No hook is called afterwards.
   void Stop();
 
  private:
--- a/src/libhost/peer_transport_test.cc
+++ b/src/libhost/peer_transport_test.cc
@@ -18,31 +18,32 @@
 Endpoint AnyPort() { return {"127.0.0.1", 0}; }
 Endpoint NoAddress() { return {}; }
 
-Hello HelloOf(const std::string& name, uint64_t incarnation,
-              const std::string& fleet = "fleet") {
+Hello MakeHello(const std::string& name, uint64_t incarnation,
+                const std::string& fleet = "fleet") {
   return {NodeRef{name, incarnation}, fleet, "dc1"};
 }
 
-// Runs the loop until `done`. The limit only ends a test that would hang.
+// Runs the event loop until `done` returns true. Fails the test if that takes
+// longer than kTimeout, which only a hanging test does.
 void RunUntil(asio::io_context& io, const std::function<bool()>& done) {
-  constexpr std::chrono::seconds kHang{20};
-  const std::chrono::steady_clock::time_point give_up =
-      std::chrono::steady_clock::now() + kHang;
+  constexpr std::chrono::seconds kTimeout{20};
+  const std::chrono::steady_clock::time_point deadline =
+      std::chrono::steady_clock::now() + kTimeout;
   io.restart();
   while (!done()) {
-    io.run_one_until(give_up);
-    if (std::chrono::steady_clock::now() > give_up) {
+    io.run_one_until(deadline);
+    if (std::chrono::steady_clock::now() > deadline) {
       FAIL("condition not reached");
     }
   }
 }
 
-// A transport that writes down what its hooks were told, in order.
+// A transport that records its hook calls in order.
 struct TestNode {
   TestNode(asio::io_context& io, const Hello& self, PeerLimits limits = {})
-      : transport(io, self, AnyPort(), Hooks(), limits) {}
+      : transport(io, self, AnyPort(), MakeHooks(), limits) {}
 
-  PeerHooks Hooks() {
+  PeerHooks MakeHooks() {
     PeerHooks hooks;
     hooks.on_message = [this](const NodeRef& peer, const PeerMessage& message) {
       log.push_back("got from " + peer.name + "#" +
@@ -68,7 +69,7 @@
   PeerTransport transport;
 };
 
-// A peer that says what the test wants, byte by byte.
+// A peer whose test decides each byte that it sends.
 class RawPeer {
  public:
   explicit RawPeer(asio::io_context& io) : socket_(io), acceptor_(io) {}
@@ -86,15 +87,16 @@
   void Connect(const Endpoint& to) {
     socket_.connect({asio::ip::make_address(to.ip), to.port});
   }
-  void Say(const std::string& bytes) {
+  void Send(const std::string& bytes) {
     asio::write(socket_, asio::buffer(bytes));
   }
-  void Say(const PeerMessage& message) {
-    Say(Frame(EncodePeerMessage(message)));
+  void Send(const PeerMessage& message) {
+    Send(Frame(EncodePeerMessage(message)));
   }
   void Close() { socket_.close(); }
-  // The other side closed: everything before that is read away.
-  bool Ended() {
+  // Discards all received bytes; returns true once the remote end has closed
+  // the connection.
+  bool IsClosedByRemote() {
     char bytes[256];
     asio::error_code error;
     socket_.non_blocking(true);
@@ -103,7 +105,7 @@
     }
     return error != asio::error::would_block;
   }
-  // Takes everything there is to read; true once `count` frames have come.
+  // Reads all available bytes; returns true once `count` frames have arrived.
   bool HasFrames(size_t count) {
     char bytes[4096];
     asio::error_code error;
@@ -125,18 +127,19 @@
   size_t frames_ = 0;
 };
 
-// Polls what no handler of the loop tells: sockets of a RawPeer.
+// Like RunUntil, but checks `done` every millisecond, as the event loop has no
+// handler for the sockets of a RawPeer.
 void PollUntil(asio::io_context& io, const std::function<bool()>& done) {
   asio::steady_timer timer(io);
-  std::function<void()> again = [&] {
+  std::function<void()> poll_again = [&] {
     timer.expires_after(std::chrono::milliseconds(1));
     timer.async_wait([&](const asio::error_code& error) {
       if (!error) {
-        again();
+        poll_again();
       }
     });
   };
-  again();
+  poll_again();
   RunUntil(io, done);
 }
 
@@ -145,8 +148,8 @@
 TEST_GROUP(PeerTransport) { asio::io_context io; };
 
 TEST(PeerTransport, MessagesArriveInOrderAndAnswersNeedNoAddress) {
-  TestNode one(io, HelloOf("n1", 4));
-  TestNode two(io, HelloOf("n2", 5));
+  TestNode one(io, MakeHello("n1", 4));
+  TestNode two(io, MakeHello("n2", 5));
   for (uint64_t i = 0; i < 200; ++i) {
     one.transport.Send("n2", two.address(), LinkPing{i});
   }
@@ -161,9 +164,9 @@
   CHECK(one.log.front() == "got from n2#5");
 }
 
-TEST(PeerTransport, LargeBodiesPassWhole) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+TEST(PeerTransport, LargeBodiesArriveIntact) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   CallForward forward;
   forward.request.body = Body(std::string(8u << 20, 'b'));
   one.transport.Send("n2", two.address(), forward);
@@ -172,9 +175,9 @@
   CHECK(two.messages[0] == PeerMessage(forward));
 }
 
-TEST(PeerTransport, BothDialAtOnceAndBothAreHeard) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+TEST(PeerTransport, SimultaneousDialsDeliverBothMessages) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   one.transport.Send("n2", two.address(), LinkPing{1});
   two.transport.Send("n1", one.address(), LinkPing{2});
   RunUntil(io, [&] { return !one.messages.empty() && !two.messages.empty(); });
@@ -182,17 +185,18 @@
   CHECK(two.messages[0] == PeerMessage(LinkPing{1}));
 }
 
-// The peer's process is gone and its port refuses. The caller can be told "not
-// run": each message comes back as proved not sent, and nothing is "lost".
+// The peer's process has ended and its port refuses connections. Each message
+// must be reported as not sent, so that its call can be answered "not run", and
+// no loss of the peer is reported.
 TEST(PeerTransport, ConnectRefusedMeansNotSent) {
-  Endpoint gone;
+  Endpoint closed_address;
   {
-    TestNode two(io, HelloOf("n2", 1));
-    gone = two.address();
+    TestNode two(io, MakeHello("n2", 1));
+    closed_address = two.address();
   }
-  TestNode one(io, HelloOf("n1", 1));
-  one.transport.Send("n2", gone, LinkPing{1});
-  one.transport.Send("n2", gone, LinkPing{2});
+  TestNode one(io, MakeHello("n1", 1));
+  one.transport.Send("n2", closed_address, LinkPing{1});
+  one.transport.Send("n2", closed_address, LinkPing{2});
   RunUntil(io, [&] { return one.unsent.size() == 2; });
   CHECK(one.unsent[0] == PeerMessage(LinkPing{1}));
   CHECK(one.unsent[1] == PeerMessage(LinkPing{2}));
@@ -200,51 +204,53 @@
         std::vector<std::string>({"not sent to n2", "not sent to n2"}));
 }
 
-TEST(PeerTransport, NoAddressOrNoIpNumberMeansNotSent) {
-  TestNode one(io, HelloOf("n1", 1));
+TEST(PeerTransport, UnknownAddressOrHostNameMeansNotSent) {
+  TestNode one(io, MakeHello("n1", 1));
   one.transport.Send("n2", NoAddress(), LinkPing{1});
   one.transport.Send("n2", Endpoint{"localhost", 9}, LinkPing{2});
-  CHECK(one.log.empty());  // never told from inside Send
+  CHECK(one.log.empty());  // no hook is called from inside Send
   RunUntil(io, [&] { return one.unsent.size() == 2; });
 }
 
-// The peer accepts and then says nothing: its process hangs. The messages wait
-// for its Hello, and come back as not sent after the connect timeout.
-TEST(PeerTransport, SilentPeerMeansNotSent) {
+// The peer's process hangs: its kernel accepts the connection, but no Hello
+// arrives. The queued messages are reported as not sent after the connect
+// timeout.
+TEST(PeerTransport, UnresponsivePeerMeansNotSent) {
   PeerLimits limits;
   limits.connect_timeout = std::chrono::milliseconds(20);
-  TestNode one(io, HelloOf("n1", 1), limits);
-  RawPeer silent(io);
-  silent.Listen();
-  one.transport.Send("n2", silent.address(), LinkPing{1});
+  TestNode one(io, MakeHello("n1", 1), limits);
+  RawPeer unresponsive(io);
+  unresponsive.Listen();
+  one.transport.Send("n2", unresponsive.address(), LinkPing{1});
   RunUntil(io, [&] { return one.unsent.size() == 1; });
-  silent.Accept();
-  CHECK(silent.HasFrames(1));  // the Hello
-  CHECK(!silent.HasFrames(2));
+  unresponsive.Accept();
+  CHECK(unresponsive.HasFrames(1));  // the Hello
+  CHECK(!unresponsive.HasFrames(2));
 }
 
-// The peer dies after it took a message: the message may have run, so it is not
-// reported as unsent, and the link is reported lost once.
-TEST(PeerTransport, PeerClosingAfterTakingAMessageMeansLost) {
-  TestNode one(io, HelloOf("n1", 1));
+// The peer crashes after receiving a message. The message may have run, so it
+// must not be reported as unsent, and the peer is reported lost once.
+TEST(PeerTransport, PeerClosingAfterReceivingAMessageMeansLost) {
+  TestNode one(io, MakeHello("n1", 1));
   RawPeer peer(io);
   peer.Listen();
   one.transport.Send("n2", peer.address(), LinkPing{1});
   peer.Accept();
-  peer.Say(HelloOf("n2", 1));
+  peer.Send(MakeHello("n2", 1));
   PollUntil(io, [&] { return peer.HasFrames(2); });
-  peer.Say(LinkPong{1});
-  peer.Say(Frame(EncodePeerMessage(LinkPong{2})).substr(0, 5));
+  peer.Send(LinkPong{1});
+  peer.Send(Frame(EncodePeerMessage(LinkPong{2})).substr(0, 5));
   peer.Close();
   RunUntil(io, [&] { return one.log.size() == 2; });
   CHECK(one.log == std::vector<std::string>({"got from n2#1", "lost n2"}));
 }
 
-// The peer stops reading, so the kernel's buffers fill, and then dies. What the
-// kernel never saw is told first, and as not sent; only then is the link lost.
-TEST(PeerTransport, UnsentMessagesAreToldBeforeTheLoss) {
+// The peer stops reading until the kernel's buffers are full, then crashes.
+// Messages never handed to the kernel must be reported as not sent before the
+// loss of the peer is reported.
+TEST(PeerTransport, UnsentMessagesAreReportedBeforeTheLoss) {
   constexpr size_t kMessages = 64;
-  TestNode one(io, HelloOf("n1", 1));
+  TestNode one(io, MakeHello("n1", 1));
   RawPeer peer(io);
   peer.Listen();
   SettingsSnapshot snapshot;
@@ -253,15 +259,15 @@
     one.transport.Send("n2", peer.address(), snapshot);
   }
   peer.Accept();
-  peer.Say(HelloOf("n2", 1));
-  peer.Say(LinkPing{1});
+  peer.Send(MakeHello("n2", 1));
+  peer.Send(LinkPing{1});
   RunUntil(io, [&] { return !one.messages.empty(); });
   peer.Close();
   RunUntil(io, [&] { return one.log.back() == "lost n2"; });
   CHECK(one.unsent.size() > 0);
   CHECK(one.unsent.size() < kMessages);
   CHECK_EQUAL(one.unsent.size() + 2, one.log.size());
-  // The last ones, whole and in order; those before may have run.
+  // The unsent messages are the last ones, in order; earlier ones may have run.
   uint64_t version = kMessages - one.unsent.size();
   for (const PeerMessage& message : one.unsent) {
     CHECK_EQUAL(version, std::get<SettingsSnapshot>(message).version);
@@ -269,103 +275,106 @@
   }
 }
 
-// A node restarts and dials again before the loss of its old link is noticed.
-// The reducer hears of the loss before the new process's first message; calls
-// of the old one are never taken for calls of the new one.
-TEST(PeerTransport, NewIncarnationEndsTheOldLinkFirst) {
-  TestNode one(io, HelloOf("n1", 1));
+// A node restarts and dials again before the loss of its old link is
+// noticed. The loss must be reported before the new process's first message.
+// Otherwise the reducer takes calls of the old process for calls of the new
+// one.
+TEST(PeerTransport, NewIncarnationClosesTheOldLinkFirst) {
+  TestNode one(io, MakeHello("n1", 1));
   RawPeer old_process(io);
   old_process.Connect(one.address());
-  old_process.Say(HelloOf("n2", 5));
-  old_process.Say(LinkPing{1});
+  old_process.Send(MakeHello("n2", 5));
+  old_process.Send(LinkPing{1});
   RunUntil(io, [&] { return one.log.size() == 1; });
   RawPeer new_process(io);
   new_process.Connect(one.address());
-  new_process.Say(HelloOf("n2", 6));
-  new_process.Say(LinkPing{2});
+  new_process.Send(MakeHello("n2", 6));
+  new_process.Send(LinkPing{2});
   RunUntil(io, [&] { return one.log.size() == 3; });
   CHECK(one.log == std::vector<std::string>(
                        {"got from n2#5", "lost n2", "got from n2#6"}));
-  PollUntil(io, [&] { return old_process.Ended(); });
+  PollUntil(io, [&] { return old_process.IsClosedByRemote(); });
 }
 
-// A cut in the network: the peer closed our link to it, we did not hear of it,
-// and it connects again. Our link would be reset by the first packet sent on
-// it, and take the new one along: so the new connection replaces it, at once.
-TEST(PeerTransport, PeerThatConnectsAgainHasGivenUpOurLink) {
+// After a network failure the peer has closed the link dialled by this node,
+// which has not noticed, and connects again. The first packet sent on the
+// stale link would be answered by a reset, which would close the new link too.
+// So the new connection must replace the stale link at once.
+TEST(PeerTransport, ReconnectingPeerReplacesTheStaleLink) {
   PeerLimits limits;
-  limits.replace_after = std::chrono::milliseconds(0);
-  TestNode one(io, HelloOf("n1", 1), limits);
-  RawPeer cut_off(io);
-  cut_off.Listen();
-  one.transport.Send("n2", cut_off.address(), LinkPing{1});
-  cut_off.Accept();
-  cut_off.Say(HelloOf("n2", 5));
-  PollUntil(io, [&] { return cut_off.HasFrames(2); });
-  RawPeer back(io);
-  back.Connect(one.address());
-  back.Say(HelloOf("n2", 5));
-  back.Say(LinkPing{2});
+  limits.min_replace_age = std::chrono::milliseconds(0);
+  TestNode one(io, MakeHello("n1", 1), limits);
+  RawPeer stale(io);
+  stale.Listen();
+  one.transport.Send("n2", stale.address(), LinkPing{1});
+  stale.Accept();
+  stale.Send(MakeHello("n2", 5));
+  PollUntil(io, [&] { return stale.HasFrames(2); });
+  RawPeer reconnected(io);
+  reconnected.Connect(one.address());
+  reconnected.Send(MakeHello("n2", 5));
+  reconnected.Send(LinkPing{2});
   RunUntil(io, [&] { return one.log.size() == 2; });
   CHECK(one.log == std::vector<std::string>({"lost n2", "got from n2#5"}));
-  cut_off.Close();
-  back.Say(LinkPing{3});
+  stale.Close();
+  reconnected.Send(LinkPing{3});
   RunUntil(io, [&] { return one.log.size() == 3; });
   CHECK(one.log[2] == "got from n2#5");
 }
 
-// Without time between them the two links may have been dialled at once: each
-// side keeps both, and nothing is lost.
-TEST(PeerTransport, LinksDialledAtOnceBothStay) {
+// The peer connects before the dialled link has reached min_replace_age, as
+// when both nodes dial at the same time. Both links stay open and no loss is
+// reported.
+TEST(PeerTransport, SimultaneouslyDialledLinksBothStayOpen) {
   PeerLimits limits;
-  limits.replace_after = std::chrono::hours(1);
-  TestNode one(io, HelloOf("n1", 1), limits);
+  limits.min_replace_age = std::chrono::hours(1);
+  TestNode one(io, MakeHello("n1", 1), limits);
   RawPeer dialled(io);
   dialled.Listen();
   one.transport.Send("n2", dialled.address(), LinkPing{1});
   dialled.Accept();
-  dialled.Say(HelloOf("n2", 5));
+  dialled.Send(MakeHello("n2", 5));
   PollUntil(io, [&] { return dialled.HasFrames(2); });
-  RawPeer dialling(io);
-  dialling.Connect(one.address());
-  dialling.Say(HelloOf("n2", 5));
-  dialling.Say(LinkPing{2});
-  dialled.Say(LinkPing{3});
+  RawPeer accepted(io);
+  accepted.Connect(one.address());
+  accepted.Send(MakeHello("n2", 5));
+  accepted.Send(LinkPing{2});
+  dialled.Send(LinkPing{3});
   RunUntil(io, [&] { return one.messages.size() == 2; });
   CHECK_EQUAL(2u, one.log.size());
 }
 
-TEST(PeerTransport, EarlierIncarnationIsRefusedWhileTheLaterIsConnected) {
-  TestNode one(io, HelloOf("n1", 1));
+TEST(PeerTransport, EarlierIncarnationIsRejectedWhileTheLaterIsConnected) {
+  TestNode one(io, MakeHello("n1", 1));
   RawPeer new_process(io);
   new_process.Connect(one.address());
-  new_process.Say(HelloOf("n2", 6));
-  new_process.Say(LinkPing{1});
+  new_process.Send(MakeHello("n2", 6));
+  new_process.Send(LinkPing{1});
   RunUntil(io, [&] { return one.log.size() == 1; });
   RawPeer old_process(io);
   old_process.Connect(one.address());
-  old_process.Say(HelloOf("n2", 5));
-  old_process.Say(LinkPing{2});
-  PollUntil(io, [&] { return old_process.Ended(); });
-  new_process.Say(LinkPing{3});
+  old_process.Send(MakeHello("n2", 5));
+  old_process.Send(LinkPing{2});
+  PollUntil(io, [&] { return old_process.IsClosedByRemote(); });
+  new_process.Send(LinkPing{3});
   RunUntil(io, [&] { return one.log.size() == 2; });
   CHECK(one.log ==
         std::vector<std::string>({"got from n2#6", "got from n2#6"}));
 }
 
-// An address was given to another node. Messages for the old one must not reach
-// it: they come back as not sent.
-TEST(PeerTransport, AnotherNodeAtTheAddressGetsNothing) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode three(io, HelloOf("n3", 1));
+// The address now belongs to another node. It must not receive messages for the
+// previous one; they are reported as not sent.
+TEST(PeerTransport, AnotherNodeAtTheAddressReceivesNothing) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode three(io, MakeHello("n3", 1));
   one.transport.Send("n2", three.address(), LinkPing{1});
   RunUntil(io, [&] { return one.unsent.size() == 1; });
   CHECK(three.messages.empty());
 }
 
-TEST(PeerTransport, AnotherFleetIsRefusedFromBothSides) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1, "other"));
+TEST(PeerTransport, NodesOfDifferentFleetsRejectEachOther) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1, "other"));
   one.transport.Send("n2", two.address(), LinkPing{1});
   two.transport.Send("n1", one.address(), LinkPing{2});
   RunUntil(io, [&] { return !one.unsent.empty() && !two.unsent.empty(); });
@@ -373,52 +382,55 @@
   CHECK(two.messages.empty());
 }
 
-// A stranger, a peer of another version or a hostile one. Its link ends; the
-// node lives, and links of others are not touched.
-TEST(PeerTransport, BadFirstFramesEndTheLinkOnly) {
-  TestNode one(io, HelloOf("n1", 1));
-  RawPeer good(io);
-  good.Connect(one.address());
-  good.Say(HelloOf("n2", 1));
-  const std::vector<std::string> openings = {
+// A client that is no peer, a peer of another version or a hostile one sends an
+// invalid first frame. Only its own link is closed; the node keeps running, and
+// other links stay open.
+TEST(PeerTransport, InvalidFirstFramesCloseOnlyTheirLink) {
+  TestNode one(io, MakeHello("n1", 1));
+  RawPeer established(io);
+  established.Connect(one.address());
+  established.Send(MakeHello("n2", 1));
+  const std::vector<std::string> invalid_openings = {
       "GET / HTTP/1.1\r\n\r\n",
       std::string("\xff\xff\xff\xff", 4),
       Frame("not a message"),
       Frame(""),
       Frame(EncodePeerMessage(LinkPing{1})),
-      Frame(EncodePeerMessage(HelloOf("n3", 1, "other"))),
-      Frame(EncodePeerMessage(HelloOf("", 1))),
-      Frame(EncodePeerMessage(HelloOf(std::string(8192, 'n'), 1))),
-      Frame(EncodePeerMessage(HelloOf("n3", 1))) +
-          Frame(EncodePeerMessage(HelloOf("n3", 1))),
+      Frame(EncodePeerMessage(MakeHello("n3", 1, "other"))),
+      Frame(EncodePeerMessage(MakeHello("", 1))),
+      Frame(EncodePeerMessage(MakeHello(std::string(8192, 'n'), 1))),
+      Frame(EncodePeerMessage(MakeHello("n3", 1))) +
+          Frame(EncodePeerMessage(MakeHello("n3", 1))),
   };
-  for (const std::string& opening : openings) {
-    RawPeer hostile(io);
-    hostile.Connect(one.address());
-    hostile.Say(opening);
-    PollUntil(io, [&] { return hostile.Ended(); });
+  for (const std::string& first_bytes : invalid_openings) {
+    RawPeer client(io);
+    client.Connect(one.address());
+    client.Send(first_bytes);
+    PollUntil(io, [&] { return client.IsClosedByRemote(); });
   }
-  good.Say(LinkPing{1});
+  established.Send(LinkPing{1});
   RunUntil(io, [&] { return one.messages.size() == 1; });
 }
 
-TEST(PeerTransport, SilentConnectionsAreBoundedAndEnd) {
+TEST(PeerTransport, ConnectionsWithoutHelloAreLimitedAndTimeOut) {
   PeerLimits limits;
-  limits.max_greeting_links = 1;
+  limits.max_pending_handshakes = 1;
   limits.connect_timeout = std::chrono::milliseconds(50);
-  TestNode one(io, HelloOf("n1", 1), limits);
+  TestNode one(io, MakeHello("n1", 1), limits);
   RawPeer first(io);
   first.Connect(one.address());
   RawPeer second(io);
   second.Connect(one.address());
-  PollUntil(io, [&] { return second.Ended() && first.Ended(); });
+  PollUntil(io, [&] {
+    return second.IsClosedByRemote() && first.IsClosedByRemote();
+  });
 }
 
 TEST(PeerTransport, FullQueueMeansNotSent) {
   PeerLimits limits;
   limits.max_queue_bytes = 1000;
-  TestNode one(io, HelloOf("n1", 1), limits);
-  TestNode two(io, HelloOf("n2", 1));
+  TestNode one(io, MakeHello("n1", 1), limits);
+  TestNode two(io, MakeHello("n2", 1));
   SettingsSnapshot snapshot{1, 2, std::string(600, 's')};
   one.transport.Send("n2", two.address(), snapshot);
   one.transport.Send("n2", two.address(), snapshot);
@@ -426,9 +438,9 @@
   CHECK_EQUAL(1u, one.unsent.size());
 }
 
-TEST(PeerTransport, MessagesThatThePeerWouldRefuseAreNotSent) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+TEST(PeerTransport, InvalidAndOversizedMessagesAreNotSent) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   CallForward forward;
   forward.request.headers = {{"X", "a\r\nb"}};
   one.transport.Send("n2", two.address(), forward);
@@ -439,9 +451,9 @@
   CHECK(two.messages[0] == PeerMessage(LinkPing{1}));
 }
 
-TEST(PeerTransport, CloseLosesThePeerAndTheNextSendDialsAgain) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+TEST(PeerTransport, CloseReportsTheLossAndTheNextSendRedials) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   one.transport.Send("n2", two.address(), LinkPing{1});
   RunUntil(io, [&] { return two.messages.size() == 1; });
   one.transport.Close("n2");
@@ -452,20 +464,20 @@
   RunUntil(io, [&] { return two.messages.size() == 2; });
 }
 
-TEST(PeerTransport, CloseBeforeTheConnectionMeansNotSentThenLost) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+TEST(PeerTransport, CloseBeforeConnectingMeansNotSentThenLost) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   one.transport.Send("n2", two.address(), LinkPing{1});
   one.transport.Close("n2");
   RunUntil(io, [&] { return one.log.size() == 2; });
   CHECK(one.log == std::vector<std::string>({"not sent to n2", "lost n2"}));
 }
 
-// A node answers its last call and ends. The answer was sent before the stop,
-// so the peer must get it.
-TEST(PeerTransport, StopHandsOverWhatWasSent) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+// A node answers its last call and stops. The answer was sent before the stop,
+// so the peer must receive it.
+TEST(PeerTransport, StopFlushesQueuedMessages) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   one.transport.Send("n2", two.address(), LinkPing{1});
   RunUntil(io, [&] { return two.messages.size() == 1; });
   two.transport.Send("n1", NoAddress(), LinkPong{1});
@@ -476,9 +488,9 @@
                        {"got from n2#1", "got from n2#1", "lost n2"}));
 }
 
-TEST(PeerTransport, StoppedTransportTellsNothingMore) {
-  TestNode one(io, HelloOf("n1", 1));
-  TestNode two(io, HelloOf("n2", 1));
+TEST(PeerTransport, StoppedTransportCallsNoHooks) {
+  TestNode one(io, MakeHello("n1", 1));
+  TestNode two(io, MakeHello("n2", 1));
   one.transport.Send("n2", two.address(), LinkPing{1});
   one.transport.Stop();
   one.transport.Send("n2", two.address(), LinkPing{2});
