--- a/src/libhost/gossip_socket.cc
+++ b/src/libhost/gossip_socket.cc
@@ -11,7 +11,7 @@
 
 using asio::ip::udp;
 
-constexpr size_t kLargestDatagram = 64u << 10;
+constexpr size_t kMaxDatagramBytes = 64u << 10;
 
 udp::endpoint ToAsio(const Endpoint& endpoint) {
   return {asio::ip::make_address(endpoint.ip), endpoint.port};
@@ -40,11 +40,11 @@
   uint64_t undecodable() const { return undecodable_; }
 
  private:
-  void Take(size_t size);
+  void HandleDatagram(size_t size);
 
   udp::socket socket_;
   GossipSocket::OnMessage on_message_;
-  std::array<char, kLargestDatagram> buffer_;
+  std::array<char, kMaxDatagramBytes> buffer_;
   udp::endpoint from_;
   uint64_t unsent_ = 0;
   uint64_t undecodable_ = 0;
@@ -58,10 +58,10 @@
         if (self->stopped_) {
           return;
         }
-        // An error here tells of an earlier send (port unreachable); the
-        // socket goes on.
+        // An error reports an earlier send (for example, port unreachable);
+        // the socket can still receive.
         if (!error) {
-          self->Take(size);
+          self->HandleDatagram(size);
         }
         if (!self->stopped_) {
           self->Receive();
@@ -69,7 +69,7 @@
       });
 }
 
-void GossipSocketImpl::Take(size_t size) {
+void GossipSocketImpl::HandleDatagram(size_t size) {
   Outcome<GossipMessage> message =
       DecodeGossip(std::string_view(buffer_.data(), size));
   if (!message) {
--- a/src/libhost/gossip_socket.h
+++ b/src/libhost/gossip_socket.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_GOSSIP_SOCKET_H_
 #define AMARANTHROUTE_LIBHOST_GOSSIP_SOCKET_H_
 
-// Gossip datagrams over UDP, one thread, on a given io_context. Datagrams may
-// be lost, doubled or reordered; membership expects that.
+// Gossip datagrams over UDP, run by the single thread of an io_context.
+// Datagrams may be lost, duplicated or reordered; membership tolerates that.
 
 #include <cstdint>
 #include <functional>
@@ -23,25 +23,28 @@
  public:
   using OnMessage = std::function<void(const Endpoint&, GossipMessage)>;
 
-  // Binds at once; throws std::system_error if it cannot.
+  // Binds the socket and starts receiving. Throws std::system_error if that
+  // fails.
   GossipSocket(asio::io_context& io, const Endpoint& listen,
                OnMessage on_message);
   ~GossipSocket();
   GossipSocket(const GossipSocket&) = delete;
   GossipSocket& operator=(const GossipSocket&) = delete;
 
-  // The port bound.
+  // The port that the socket is bound to.
   uint16_t port() const { return port_; }
 
-  // Sends one datagram, or none if it is over kMaxGossipBytes, the address is
-  // no IP number, or the kernel has no room.
+  // Sends one datagram. Drops it, and counts it as unsent, if it exceeds
+  // kMaxGossipBytes, if the address is not an IP number, or if the kernel does
+  // not accept it. After Stop() it is dropped without being counted.
   void Send(const Endpoint& to, const GossipMessage& message);
 
-  // Datagrams not sent, and datagrams received that did not decode.
+  // Number of datagrams that could not be sent, and of received datagrams that
+  // could not be decoded.
   uint64_t unsent() const;
   uint64_t undecodable() const;
 
-  // Closes the socket; `on_message` is not called any more.
+  // Closes the socket. `on_message` is not called afterwards.
   void Stop();
 
  private:
--- a/src/libhost/gossip_socket_test.cc
+++ b/src/libhost/gossip_socket_test.cc
@@ -12,15 +12,17 @@
 
 Endpoint AnyPort() { return {"127.0.0.1", 0}; }
 
-// Loopback loses no datagram here; the limit only ends a test that would hang.
+// Runs the event loop until `done` returns true. Fails the test if that takes
+// longer than kTimeout, which only a hanging test does: loopback loses no
+// datagram here.
 void RunUntil(asio::io_context& io, const std::function<bool()>& done) {
-  constexpr std::chrono::seconds kHang{20};
-  const std::chrono::steady_clock::time_point give_up =
-      std::chrono::steady_clock::now() + kHang;
+  constexpr std::chrono::seconds kTimeout{20};
+  const std::chrono::steady_clock::time_point deadline =
+      std::chrono::steady_clock::now() + kTimeout;
   io.restart();
   while (!done()) {
-    io.run_one_until(give_up);
-    if (std::chrono::steady_clock::now() > give_up) {
+    io.run_one_until(deadline);
+    if (std::chrono::steady_clock::now() > deadline) {
       FAIL("condition not reached");
     }
   }
@@ -33,7 +35,7 @@
   std::vector<GossipMessage> messages;
   std::vector<Endpoint> senders;
 
-  GossipSocket::OnMessage Keep() {
+  GossipSocket::OnMessage RecordMessages() {
     return [this](const Endpoint& from, const GossipMessage& message) {
       senders.push_back(from);
       messages.push_back(message);
@@ -42,8 +44,8 @@
 };
 
 TEST(GossipSocket, MessagesArriveWithTheirSender) {
-  GossipSocket one(io, AnyPort(), Keep());
-  GossipSocket two(io, AnyPort(), Keep());
+  GossipSocket one(io, AnyPort(), RecordMessages());
+  GossipSocket two(io, AnyPort(), RecordMessages());
   GossipMessage message;
   message.from = NodeRef{"n1", 3};
   message.sequence = 9;
@@ -53,22 +55,22 @@
   CHECK(senders[0] == (Endpoint{"127.0.0.1", one.port()}));
 }
 
-// Anybody can send to a UDP port. What does not decode is counted and dropped;
-// the next datagram is read as if nothing had happened.
+// Any host can send to a UDP port. A datagram that cannot be decoded is counted
+// and dropped, and the next datagram is received normally.
 TEST(GossipSocket, UndecodableDatagramsAreCountedAndDropped) {
-  GossipSocket one(io, AnyPort(), Keep());
-  asio::ip::udp::socket stranger(io, asio::ip::udp::v4());
+  GossipSocket one(io, AnyPort(), RecordMessages());
+  asio::ip::udp::socket client(io, asio::ip::udp::v4());
   const asio::ip::udp::endpoint target(asio::ip::address_v4::loopback(),
                                        one.port());
-  stranger.send_to(asio::buffer(std::string("hello")), target);
-  stranger.send_to(asio::buffer(std::string()), target);
-  stranger.send_to(asio::buffer(EncodeGossip(GossipMessage())), target);
+  client.send_to(asio::buffer(std::string("hello")), target);
+  client.send_to(asio::buffer(std::string()), target);
+  client.send_to(asio::buffer(EncodeGossip(GossipMessage())), target);
   RunUntil(io, [&] { return messages.size() == 1; });
   CHECK_EQUAL(2u, one.undecodable());
 }
 
-TEST(GossipSocket, OverlongMessagesAndNamesAreNotSent) {
-  GossipSocket one(io, AnyPort(), Keep());
+TEST(GossipSocket, OversizedMessagesAndHostNamesAreNotSent) {
+  GossipSocket one(io, AnyPort(), RecordMessages());
   GossipMessage message;
   message.target = std::string(kMaxGossipBytes, 't');
   one.Send(Endpoint{"127.0.0.1", one.port()}, message);
@@ -78,18 +80,18 @@
   RunUntil(io, [&] { return messages.size() == 1; });
 }
 
-// A member is gone: the kernel reports "port unreachable" on our socket. The
-// socket must go on receiving from the others.
+// A member has ended, so the kernel reports "port unreachable" on the sender's
+// socket. The socket must keep receiving from other members.
 TEST(GossipSocket, UnreachableMemberDoesNotStopReceiving) {
-  uint16_t gone = 0;
+  uint16_t closed_port = 0;
   {
-    GossipSocket two(io, AnyPort(), Keep());
-    gone = two.port();
+    GossipSocket two(io, AnyPort(), RecordMessages());
+    closed_port = two.port();
   }
-  GossipSocket one(io, AnyPort(), Keep());
-  one.Send(Endpoint{"127.0.0.1", gone}, GossipMessage());
-  one.Send(Endpoint{"127.0.0.1", gone}, GossipMessage());
-  GossipSocket three(io, AnyPort(), Keep());
+  GossipSocket one(io, AnyPort(), RecordMessages());
+  one.Send(Endpoint{"127.0.0.1", closed_port}, GossipMessage());
+  one.Send(Endpoint{"127.0.0.1", closed_port}, GossipMessage());
+  GossipSocket three(io, AnyPort(), RecordMessages());
   three.Send(Endpoint{"127.0.0.1", one.port()}, GossipMessage());
   RunUntil(io, [&] { return messages.size() == 1; });
 }
