--- a/src/libhost/log_sink.cc
+++ b/src/libhost/log_sink.cc
@@ -13,26 +13,26 @@
 namespace amaranth::pvt {
 namespace {
 
-struct LevelName {
+struct LevelInfo {
   LogLevel level;
   std::string_view name;
   spdlog::level::level_enum spdlog_level;
 };
 
-constexpr std::array<LevelName, 4> kLevels = {{
+constexpr std::array<LevelInfo, 4> kLevels = {{
     {LogLevel::kDebug, "debug", spdlog::level::debug},
     {LogLevel::kInfo, "info", spdlog::level::info},
     {LogLevel::kWarning, "warning", spdlog::level::warn},
     {LogLevel::kError, "error", spdlog::level::err},
 }};
 
-const LevelName& NameOf(LogLevel level) {
+const LevelInfo& LevelInfoOf(LogLevel level) {
   return kLevels[static_cast<size_t>(level)];
 }
 
-std::shared_ptr<spdlog::logger> StdoutLogger(LogFormat format) {
+std::shared_ptr<spdlog::logger> MakeStdoutLogger(LogFormat format) {
   auto logger = std::make_shared<spdlog::logger>(
-      "amaranthd", std::make_shared<UnblockingSink>(STDOUT_FILENO));
+      "amaranthd", std::make_shared<NonBlockingSink>(STDOUT_FILENO));
   logger->set_level(spdlog::level::debug);
   logger->set_pattern(format == LogFormat::kJson
                           ? R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z",%v})"
@@ -43,9 +43,9 @@
 }  // namespace
 
 LogSink::LogSink(LogSinkOptions options) : options_(std::move(options)) {
-  write_ = [logger = StdoutLogger(options_.format)](LogLevel level,
-                                                    const std::string& line) {
-    logger->log(NameOf(level).spdlog_level, "{}", line);
+  write_ = [logger = MakeStdoutLogger(options_.format)](
+               LogLevel level, const std::string& line) {
+    logger->log(LevelInfoOf(level).spdlog_level, "{}", line);
   };
 }
 
@@ -54,29 +54,30 @@
 
 void LogSink::Write(TimePoint now, const WriteLog& log) {
   if (log.level < options_.level) return;
-  if (!Allow(now, log.part)) return;
+  if (!AllowLine(now, log.part)) return;
   write_(log.level, Format(log));
 }
 
-bool LogSink::Allow(TimePoint now, const std::string& part) {
+bool LogSink::AllowLine(TimePoint now, const std::string& part) {
   const auto [entry, is_new] =
-      allowances_.emplace(part, Allowance{options_.burst, now, 0});
-  Allowance& allowance = entry->second;
+      buckets_.emplace(part, TokenBucket{options_.burst, now, 0});
+  TokenBucket& bucket = entry->second;
   const double seconds =
-      std::chrono::duration<double>(now - allowance.since).count();
-  allowance.since = now;
-  allowance.lines = std::min(
-      options_.burst, allowance.lines + seconds * options_.lines_per_second);
-  if (allowance.lines < 1) {
-    ++allowance.left_out;
+      std::chrono::duration<double>(now - bucket.last_refill).count();
+  bucket.last_refill = now;
+  bucket.tokens = std::min(options_.burst,
+                           bucket.tokens + seconds * options_.lines_per_second);
+  if (bucket.tokens < 1) {
+    ++bucket.dropped;
     return false;
   }
-  allowance.lines -= 1;
-  if (allowance.left_out > 0) {
-    const std::string count = std::to_string(allowance.left_out);
-    allowance.left_out = 0;
+  bucket.tokens -= 1;
+  if (bucket.dropped > 0) {
+    const std::string count = std::to_string(bucket.dropped);
+    bucket.dropped = 0;
     write_(LogLevel::kWarning,
-           Format({LogLevel::kWarning, part, "lines left out: " + count}));
+           Format({LogLevel::kWarning, part,
+                   "lines dropped over the rate limit: " + count}));
   }
   return true;
 }
@@ -89,19 +90,19 @@
                                  {"node", options_.node},
                                  {"part", log.part},
                                  {"text", log.text}};
-  // The logger's pattern puts the time in front and the braces around.
+  // The logger's pattern adds the time and the enclosing braces.
   const std::string object =
       fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   return object.substr(1, object.size() - 2);
 }
 
 std::optional<LogLevel> ParseLogLevel(std::string_view text) {
-  for (const LevelName& entry : kLevels) {
+  for (const LevelInfo& entry : kLevels) {
     if (entry.name == text) return entry.level;
   }
   return std::nullopt;
 }
 
-std::string_view ToString(LogLevel level) { return NameOf(level).name; }
+std::string_view ToString(LogLevel level) { return LevelInfoOf(level).name; }
 
 }  // namespace amaranth::pvt
--- a/src/libhost/log_sink.h
+++ b/src/libhost/log_sink.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_LOG_SINK_H_
 #define AMARANTHROUTE_LIBHOST_LOG_SINK_H_
 
-// Log lines with a fixed prefix for each part, as text or JSON.
+// Writes log lines with a fixed prefix for each part, as text or JSON, and
+// limits their rate per part.
 
 #include <chrono>
 #include <functional>
@@ -22,9 +23,10 @@
   LogLevel level = LogLevel::kInfo;
   LogFormat format = LogFormat::kText;
   std::string node;
-  // A wide failure logs the same thing thousands of times a second; without a
-  // bound the log itself becomes the load. Each part has its own, so that a
-  // noisy part cannot silence another.
+  // Rate limit of each part. A widespread failure logs the same line thousands
+  // of times per second, and without a limit logging itself would overload the
+  // node. The limit applies to each part separately, so that a part that logs a
+  // lot does not suppress the lines of another.
   double lines_per_second = 50;
   double burst = 200;
 };
@@ -33,29 +35,31 @@
  public:
   using WriteLine = std::function<void(LogLevel, const std::string& line)>;
 
-  // Writes to standard output by spdlog.
+  // Writes to standard output through spdlog.
   explicit LogSink(LogSinkOptions options);
-  // Hands each line to `write` instead.
+  // Passes each line to `write` instead.
   LogSink(LogSinkOptions options, WriteLine write);
 
+  // Writes the line unless it is below the configured level or over the rate
+  // limit. The number of dropped lines is logged before the part's next line.
   void Write(TimePoint now, const WriteLog& log);
 
  private:
-  struct Allowance {
-    double lines = 0;
-    TimePoint since{};
-    uint64_t left_out = 0;
+  struct TokenBucket {
+    double tokens = 0;  // lines that may be written now
+    TimePoint last_refill{};
+    uint64_t dropped = 0;
   };
 
-  bool Allow(TimePoint now, const std::string& part);
+  bool AllowLine(TimePoint now, const std::string& part);
   std::string Format(const WriteLog& log) const;
 
   LogSinkOptions options_;
   WriteLine write_;
-  std::map<std::string, Allowance> allowances_;
+  std::map<std::string, TokenBucket> buckets_;
 };
 
-// "debug", "info", "warning" or "error"; nothing for other text.
+// Parses "debug", "info", "warning" or "error"; returns nullopt for other text.
 std::optional<LogLevel> ParseLogLevel(std::string_view text);
 std::string_view ToString(LogLevel level);
 
--- a/src/libhost/unblocking_sink.cc
+++ b/src/libhost/unblocking_sink.cc
@@ -7,21 +7,22 @@
 
 namespace amaranth::pvt {
 
-// A pipe that polls as writable takes this many bytes without blocking, and
-// whole, so that lines of several processes do not mix.
+// Longer lines are truncated. A pipe that poll() reports as writable accepts
+// this many bytes without blocking and atomically, so that lines of several
+// processes do not interleave.
 constexpr size_t kMaxLineBytes = PIPE_BUF;
 
-bool UnblockingSink::HasRoom() const {
+bool NonBlockingSink::IsWritable() const {
   pollfd state{descriptor_, POLLOUT, 0};
   return ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
 
-void UnblockingSink::WriteLine(const char* data, size_t size) const {
-  // There is nowhere left to tell of a failure here.
+void NonBlockingSink::WriteLine(const char* data, size_t size) const {
+  // A failed write is ignored, as there is nowhere else to report it.
   [[maybe_unused]] const ssize_t written = ::write(descriptor_, data, size);
 }
 
-spdlog::memory_buf_t UnblockingSink::Formatted(
+spdlog::memory_buf_t NonBlockingSink::FormatLine(
     const spdlog::details::log_msg& message) {
   spdlog::memory_buf_t line;
   formatter_->format(message, line);
@@ -32,22 +33,22 @@
   return line;
 }
 
-void UnblockingSink::sink_it_(const spdlog::details::log_msg& message) {
-  if (!HasRoom()) {
-    ++left_out_;
+void NonBlockingSink::sink_it_(const spdlog::details::log_msg& message) {
+  if (!IsWritable()) {
+    ++dropped_lines_;
     return;
   }
-  const spdlog::memory_buf_t line = Formatted(message);
+  const spdlog::memory_buf_t line = FormatLine(message);
   WriteLine(line.data(), line.size());
-  if (left_out_ == 0 || !HasRoom()) return;
+  if (dropped_lines_ == 0 || !IsWritable()) return;
   const std::string text =
-      R"("level":"warning","part":"log","text":"lines left out as nobody read: )" +
-      std::to_string(left_out_) + "\"";
-  left_out_ = 0;
-  const spdlog::details::log_msg told(message.logger_name, spdlog::level::warn,
-                                      text);
-  const spdlog::memory_buf_t told_line = Formatted(told);
-  WriteLine(told_line.data(), told_line.size());
+      R"("level":"warning","part":"log","text":"lines dropped, log not read: )" +
+      std::to_string(dropped_lines_) + "\"";
+  dropped_lines_ = 0;
+  const spdlog::details::log_msg notice(message.logger_name,
+                                        spdlog::level::warn, text);
+  const spdlog::memory_buf_t notice_line = FormatLine(notice);
+  WriteLine(notice_line.data(), notice_line.size());
 }
 
 }  // namespace amaranth::pvt
