--- a/src/libhost/gossip_socket_test.cc
+++ b/src/libhost/gossip_socket_test.cc
@@ -12,9 +12,8 @@
 
 Endpoint AnyPort() { return {"127.0.0.1", 0}; }
 
-// Runs the event loop until `done` returns true. Fails the test if that takes
-// longer than kTimeout, which only a hanging test does: loopback loses no
-// datagram here.
+// Runs the event loop until `done` returns true. Fails the test after kTimeout,
+// so that it cannot hang. Loopback loses no datagram here.
 void RunUntil(asio::io_context& io, const std::function<bool()>& done) {
   constexpr std::chrono::seconds kTimeout{20};
   const std::chrono::steady_clock::time_point deadline =
--- a/src/libhost/peer_transport.h
+++ b/src/libhost/peer_transport.h
@@ -51,7 +51,7 @@
   // Age from which an open link dialled by this node is replaced when its peer
   // connects: the peer would have used that link had it not closed it. A
   // younger link stays beside the new one, as both nodes may have dialled at
-  // once.
+  // once. An open link that the peer dialled is replaced at any age.
   std::chrono::milliseconds min_replace_age{1000};
   // Accepted connections whose Hello has not arrived; further ones are closed.
   size_t max_pending_handshakes = 256;
@@ -70,7 +70,7 @@
   uint16_t port() const { return port_; }
 
   // Queues a message to the peer. A failure is reported by on_send_failed, or
-  // by on_lost if part of the message was handed to the kernel. A port of 0 in
+  // by on_lost if any of it was handed to the kernel. A port of 0 in
   // `address` means that the address is unknown: the send then fails unless a
   // link to the peer exists.
   void Send(const std::string& peer, const Endpoint& address,
--- a/src/libhost/peer_transport_test.cc
+++ b/src/libhost/peer_transport_test.cc
@@ -23,8 +23,8 @@
   return {NodeRef{name, incarnation}, fleet, "dc1"};
 }
 
-// Runs the event loop until `done` returns true. Fails the test if that takes
-// longer than kTimeout, which only a hanging test does.
+// Runs the event loop until `done` returns true. Fails the test after kTimeout,
+// so that it cannot hang.
 void RunUntil(asio::io_context& io, const std::function<bool()>& done) {
   constexpr std::chrono::seconds kTimeout{20};
   const std::chrono::steady_clock::time_point deadline =
@@ -69,7 +69,7 @@
   PeerTransport transport;
 };
 
-// A peer whose test decides each byte that it sends.
+// A peer that sends exactly the bytes that the test gives it.
 class RawPeer {
  public:
   explicit RawPeer(asio::io_context& io) : socket_(io), acceptor_(io) {}
