--- a/src/libhost/http_frontend.cc
+++ b/src/libhost/http_frontend.cc
@@ -106,9 +106,9 @@
     {"HPE_CB_headers_complete", 413, Reason::kTooLarge, "body over the limit"},
     {"HPE_CB_body", 413, Reason::kTooLarge, "body over the limit"},
     {"read socket error: No buffer space", 503, Reason::kTooLarge,
-     "buffer memory exhausted"},
+     "no buffer memory left"},
     {"read socket error: End of file", 400, Reason::kBadRequest,
-     "request truncated"},
+     "request cut short"},
     {"parser error", 400, Reason::kBadRequest, "malformed HTTP"},
 }};
 
@@ -185,10 +185,9 @@
     connections_[handle->connection_id()].calls.push_back(call);
     intake_->buffered_bytes += body_bytes;
     if (upgrade) {
-      Refuse(call, 501, Reason::kBadRequest,
-             "protocol upgrades are not supported");
+      Refuse(call, 501, Reason::kBadRequest, "no protocol upgrades here");
     } else if (intake_->buffered_bytes > intake_->max_buffered_bytes) {
-      Refuse(call, 503, Reason::kTooLarge, "buffer memory exhausted");
+      Refuse(call, 503, Reason::kTooLarge, "no buffer memory left");
     } else {
       hooks_.on_request(call, std::move(request));
     }
