--- a/models/claims.pml
+++ b/models/claims.pml
@@ -1,5 +1,5 @@
 /* At most once for one idempotency key (src/libnode/entry_keys.cc,
- * claim_desk.cc, key_registry.cc, src/libplatform/claim_run.cc).
+ * claim_desk.cc, key_registry.cc, src/libplatform/claim_operation.cc).
  *
  * Two entry nodes; a caller that sends the same keyed request to either,
  * without waiting; the platform's insert-if-absent, whose write may take
--- a/src/amaranthd/main.cc
+++ b/src/amaranthd/main.cc
@@ -81,7 +81,7 @@
     host.announce_listen = Endpoint{options.ip, *options.announce_port};
   }
   if (options.rows) platform::AdaptShells(host);
-  if (options.stop_grace.count() > 0) host.flush_limit = kFlushInGrace;
+  if (options.stop_grace.count() > 0) host.flush_timeout = kFlushInGrace;
   host.client.max_response_bytes = options.identity.max_body_bytes;
   host.log.level = options.log_level;
   host.log.format = options.log_format;
@@ -151,11 +151,11 @@
   rows.config.drain_timeout = std::chrono::duration_cast<Duration>(
       options.stop_grace * kDrainPartOfGrace);
   HttpClientOptions client;
-  client.silence_limit = platform::kSilenceLimit;
+  client.ack_timeout = platform::kSilenceLimit;
   const auto http = std::make_shared<HttpClient>(io, client);
   const auto log = std::make_shared<LogSink>(ToHostOptions(options).log);
   return std::make_shared<platform::RowStore>(
-      rows, HttpCallOn(http), [log](const std::string& text) {
+      rows, MakeHttpCall(http), [log](const std::string& text) {
         const auto now = std::chrono::steady_clock::now().time_since_epoch();
         log->Write(TimePoint(std::chrono::duration_cast<Duration>(now)),
                    {LogLevel::kWarning, "store", text});
--- a/src/amaranthd/options.cc
+++ b/src/amaranthd/options.cc
@@ -332,8 +332,8 @@
   options.rows = reader.Address("rows");
   options.server_service = reader.Name("server-service");
   rules.settings_source = SettingsSource::kWatch;
-  rules.ids_name_sendings = true;
-  rules.callers_repeat = true;
+  rules.request_id_per_send = true;
+  rules.callers_resend = true;
   rules.admit_at_edge = true;
   // Callers hear within two seconds that this node is not ready. Calls that
   // others send meanwhile end within the grace, as nearly all take less than
--- a/src/bench/echo_server.cc
+++ b/src/bench/echo_server.cc
@@ -63,7 +63,7 @@
     hooks.on_request = [this](CallId call, const HttpRequest& request) {
       Run(call, request);
     };
-    hooks.on_gone = [](CallId) {};
+    hooks.on_caller_gone = [](CallId) {};
     frontend_ = std::make_unique<pvt::HttpFrontend>(
         io, Endpoint{options_.ip, options_.port}, pvt::HttpFrontendOptions{},
         std::make_shared<pvt::HttpIntake>(), std::move(hooks));
--- a/src/fuzz/fuzz_frames.cc
+++ b/src/fuzz/fuzz_frames.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-using amaranth::Frame;
+using amaranth::EncodeFrame;
 using amaranth::FrameReader;
 using amaranth::Outcome;
 using amaranth::pvt::Require;
@@ -26,7 +26,7 @@
       return true;
     }
     Require(payload.value()->size() <= kMaxPayload, "payload within limit");
-    returned += Frame(*payload.value());
+    returned += EncodeFrame(*payload.value());
     static_cast<void>(amaranth::DecodePeerMessage(*payload.value()));
   }
 }
--- a/src/fuzz/write_corpus.cc
+++ b/src/fuzz/write_corpus.cc
@@ -102,7 +102,7 @@
   std::string stream(1, '\x07');  // cut into pieces of eight bytes
   for (const PeerMessage& message : PeerMessages()) {
     const std::string payload = EncodePeerMessage(message);
-    stream += Frame(payload);
+    stream += EncodeFrame(payload);
     Write(folder / "peer_message", number++, payload);
   }
   Write(folder / "frames", 0, stream);
--- a/src/include/amaranthroute/reducer.h
+++ b/src/include/amaranthroute/reducer.h
@@ -30,7 +30,7 @@
   /// so ids are not idempotency keys. They are not claimed in the platform's
   /// table: that would cost one write per request and prevent no repeated run.
   /// The same holds for tickets.
-  bool ids_name_sendings = false;
+  bool request_id_per_send = false;
   /// Announcements arrive on a separate port. On the callers' port their paths
   /// have no special meaning then.
   bool announce_port = false;
@@ -38,7 +38,7 @@
   /// caller's request that may have run is then not retried here: each retry
   /// repeats the whole call tree and would multiply the load of the deepest
   /// service.
-  bool callers_repeat = false;
+  bool callers_resend = false;
   /// Requests are admitted or shed at their entry node only; their nested calls
   /// are not shed. Shedding a call deep in a chain wastes all the work already
   /// done for its request.
--- a/src/include/amaranthroute/wire.h
+++ b/src/include/amaranthroute/wire.h
@@ -61,7 +61,7 @@
 Outcome<GossipMessage> DecodeGossip(std::string_view payload);
 
 /// Returns `payload` preceded by its length in four bytes, big-endian.
-std::string Frame(std::string_view payload);
+std::string EncodeFrame(std::string_view payload);
 
 /// Splits a byte stream into frames. Allocates memory only for bytes that were
 /// appended, never for an announced length.
--- a/src/libhost/host.cc
+++ b/src/libhost/host.cc
@@ -19,7 +19,7 @@
 namespace {
 
 // How often the exiting process checks whether the kernel has accepted all
-// answers; HostOptions::flush_limit bounds the wait.
+// answers; HostOptions::flush_timeout bounds the wait.
 constexpr std::chrono::milliseconds kFlushCheckPeriod{5};
 
 // steady_clock has a finer resolution than the reducer's clock and so overflows
@@ -206,7 +206,7 @@
     callers_->StopAccepting();
     operators_->StopAccepting();
     if (announcers_) announcers_->StopAccepting();
-    flush_deadline_ = std::chrono::steady_clock::now() + options_.flush_limit;
+    flush_deadline_ = std::chrono::steady_clock::now() + options_.flush_timeout;
     AwaitFlush();
   }
 
@@ -216,7 +216,7 @@
       std::function<void(CallId, HttpRequest)> on_request) {
     HttpFrontendHooks hooks;
     hooks.on_request = std::move(on_request);
-    hooks.on_gone = [this](CallId call) { Post(CallerGone{call}); };
+    hooks.on_caller_gone = [this](CallId call) { Post(CallerGone{call}); };
     hooks.on_error = [this, what](const std::string& error, size_t calls) {
       // Idle connections end all the time and are not logged.
       if (calls == 0) return;
--- a/src/libhost/host.h
+++ b/src/libhost/host.h
@@ -42,7 +42,7 @@
   LogSinkOptions log;
   // How long the exiting process waits for callers that read their answers
   // slowly.
-  std::chrono::milliseconds flush_limit{5000};
+  std::chrono::milliseconds flush_timeout{5000};
 };
 
 // The ports that are bound.
--- a/src/libhost/host_test.cc
+++ b/src/libhost/host_test.cc
@@ -54,7 +54,7 @@
 };
 
 TEST(Host, CallIsSentToABackendServerAndAnswered) {
-  RawServer server(io, [](RawPeer& peer) {
+  RawServer server(io, [](RawConnection& peer) {
     peer.Write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nback");
   });
   on_event = [&](const Event& event) -> Effects {
@@ -72,7 +72,7 @@
   };
   const std::unique_ptr<Host> host = MakeHost();
   host->Start();
-  const auto peer = RawPeer::Connect(io, host->ports().caller);
+  const auto peer = RawConnection::Connect(io, host->ports().caller);
   peer->Write("GET /x HTTP/1.1\r\n\r\n");
   CHECK(Until([&] { return CountOf(peer->received, "back") == 1; }));
   CHECK(events[0].now <= events[1].now);
@@ -86,7 +86,7 @@
   };
   const std::unique_ptr<Host> host = MakeHost();
   host->Start();
-  const auto peer = RawPeer::Connect(io, host->ports().operators);
+  const auto peer = RawConnection::Connect(io, host->ports().operators);
   peer->Write("GET /status HTTP/1.1\r\n\r\n");
   CHECK(Until([&] { return CountOf(peer->received, "status") == 1; }));
 }
@@ -107,7 +107,7 @@
   };
   const std::unique_ptr<Host> host = MakeHost();
   host->Start();
-  const auto peer = RawPeer::Connect(io, host->ports().caller);
+  const auto peer = RawConnection::Connect(io, host->ports().caller);
   peer->Write("GET / HTTP/1.1\r\n\r\n");
   CHECK(Until([&] {
     return !server.peers.empty() && !server.peers[0]->received.empty();
@@ -162,7 +162,7 @@
     return {};
   };
   one->Start();
-  const auto peer = RawPeer::Connect(io, one->ports().caller);
+  const auto peer = RawConnection::Connect(io, one->ports().caller);
   peer->Write("GET / HTTP/1.1\r\n\r\n");
   CHECK(Until([&] { return EventsOf<GossipReceived>().size() == 1; }));
   CHECK(Until([&] { return EventsOf<PeerReceived>().size() == 1; }));
@@ -181,7 +181,7 @@
   };
   const std::unique_ptr<Host> host = MakeHost();
   host->Start();
-  const auto peer = RawPeer::Connect(io, host->ports().caller);
+  const auto peer = RawConnection::Connect(io, host->ports().caller);
   peer->Write("GET / HTTP/1.1\r\n\r\n");
   CHECK(Until([&] { return host->exited(); }));
   CHECK(Until([&] { return peer->received.size() > large.size(); }));
--- a/src/libhost/http_client.cc
+++ b/src/libhost/http_client.cc
@@ -218,11 +218,11 @@
       ::close(fd);
       return CURL_SOCKET_BAD;
     }
-    if (options_.silence_limit.count() > 0) {
+    if (options_.ack_timeout.count() > 0) {
       // Closes the connection when sent bytes stay unacknowledged for this
       // long; by default the system retransmits them for about 15 minutes.
       const unsigned int millis =
-          static_cast<unsigned int>(options_.silence_limit.count());
+          static_cast<unsigned int>(options_.ack_timeout.count());
       ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &millis, sizeof millis);
       const int probes = 2;
       ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
--- a/src/libhost/http_client.h
+++ b/src/libhost/http_client.h
@@ -36,12 +36,12 @@
   // Accepts a body that is delimited by the orderly end of its connection as
   // complete. The server must then reset a connection whose answer it breaks
   // off.
-  bool body_may_end_with_connection = false;
+  bool accept_close_delimited_body = false;
   // A connection, also an idle one, is closed when the remote end has
   // acknowledged nothing for about this long; 0 keeps the defaults of the
   // operating system (hours). It must be shorter than the time within which a
   // lost connection must be detected, and longer than a burst of packet loss.
-  std::chrono::milliseconds silence_limit{0};
+  std::chrono::milliseconds ack_timeout{0};
 };
 
 class HttpClient {
--- a/src/libhost/http_client_test.cc
+++ b/src/libhost/http_client_test.cc
@@ -14,7 +14,7 @@
 
 constexpr Duration kRequestTimeout = std::chrono::seconds(10);
 
-bool IsWholeRequest(const RawPeer& peer) {
+bool IsWholeRequest(const RawConnection& peer) {
   const size_t end = peer.received.find("\r\n\r\n");
   if (end == std::string::npos) return false;
   const size_t length = peer.received.find("Content-Length: ");
@@ -75,9 +75,9 @@
 
   // Returns a handler that records each complete request and calls `answer`
   // with it.
-  std::function<void(RawPeer&)> RespondWith(
-      const std::function<void(RawPeer&, const std::string&)>& answer) {
-    return [this, answer](RawPeer& peer) {
+  std::function<void(RawConnection&)> RespondWith(
+      const std::function<void(RawConnection&, const std::string&)>& answer) {
+    return [this, answer](RawConnection& peer) {
       if (!IsWholeRequest(peer)) return;
       seen.push_back(std::exchange(peer.received, {}));
       answer(peer, seen.back());
@@ -97,7 +97,8 @@
   // Sends to a server that answers with `text` and then closes.
   HttpClientResult ResultOf(const std::string& text, HttpRequest request,
                             const HttpClientOptions& options = {}) {
-    RawServer server(io, RespondWith([&](RawPeer& peer, const std::string&) {
+    RawServer server(io,
+                     RespondWith([&](RawConnection& peer, const std::string&) {
                        peer.Write(text);
                        io.post([&peer] { peer.Close(); });
                      }));
@@ -111,7 +112,7 @@
 };
 
 TEST(HttpClient, SendsTheRequestAndReturnsTheWholeResponse) {
-  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+  RawServer server(io, RespondWith([](RawConnection& peer, const std::string&) {
                      peer.Write(OkResponse("hello"));
                    }));
   HttpClient client(io, {});
@@ -132,7 +133,7 @@
 }
 
 TEST(HttpClient, ReusesConnectionsAndDropsIdleOnesWhenAsked) {
-  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+  RawServer server(io, RespondWith([](RawConnection& peer, const std::string&) {
                      peer.Write(OkResponse("x"));
                    }));
   HttpClient client(io, {});
@@ -151,7 +152,7 @@
 
 TEST(HttpClient, MethodsAreSentUnchanged) {
   RawServer server(
-      io, RespondWith([](RawPeer& peer, const std::string& request) {
+      io, RespondWith([](RawConnection& peer, const std::string& request) {
         peer.Write(request.substr(0, 4) == "HEAD"
                        ? "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
                        : OkResponse("y"));
@@ -192,7 +193,8 @@
   // closes the connection without an answer. libcurl by itself would resend it
   // on a new connection, and it would run twice. It must be sent once, with
   // verdict may-have-run.
-  RawServer server(io, RespondWith([this](RawPeer& peer, const std::string&) {
+  RawServer server(io,
+                   RespondWith([this](RawConnection& peer, const std::string&) {
                      if (seen.size() == 1) {
                        peer.Write(OkResponse("first"));
                      } else {
@@ -220,7 +222,7 @@
   // The server closes the idle connection before the next request. That is
   // detected before anything is sent, so the request is sent on a new
   // connection.
-  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+  RawServer server(io, RespondWith([](RawConnection& peer, const std::string&) {
                      peer.Write(OkResponse("z"));
                    }));
   HttpClient client(io, {});
@@ -327,8 +329,9 @@
 TEST(HttpClient, CancelEndsOnceAndLateAnswerIsDiscarded) {
   // A request is cancelled while the server runs it; the server then answers.
   // That answer must not be taken for the answer to the next request.
-  std::vector<RawPeer*> waiting;
-  RawServer server(io, RespondWith([&](RawPeer& peer, const std::string&) {
+  std::vector<RawConnection*> waiting;
+  RawServer server(io,
+                   RespondWith([&](RawConnection& peer, const std::string&) {
                      waiting.push_back(&peer);
                    }));
   HttpClient client(io, {});
@@ -353,7 +356,8 @@
   // The server receives the request and does not answer. After the timeout the
   // request may have run, and its late answer must not be taken for the answer
   // to a later request.
-  RawServer server(io, RespondWith([this](RawPeer& peer, const std::string&) {
+  RawServer server(io,
+                   RespondWith([this](RawConnection& peer, const std::string&) {
                      if (seen.size() > 1) peer.Write(OkResponse("own"));
                    }));
   HttpClient client(io, {});
@@ -380,7 +384,7 @@
 }
 
 TEST(HttpClient, SignedRequestHasAnAwsSignature) {
-  RawServer server(io, RespondWith([](RawPeer& peer, const std::string&) {
+  RawServer server(io, RespondWith([](RawConnection& peer, const std::string&) {
                      peer.Write(OkResponse(""));
                    }));
   HttpClient client(io, {});
--- a/src/libhost/http_frontend.cc
+++ b/src/libhost/http_frontend.cc
@@ -208,7 +208,7 @@
     unwritten_ -= connection.unwritten;
     for (const CallId call : connection.calls) {
       RemoveCall(call);
-      if (!stopped_) hooks_.on_gone(call);
+      if (!stopped_) hooks_.on_caller_gone(call);
     }
   }
 
--- a/src/libhost/http_frontend.h
+++ b/src/libhost/http_frontend.h
@@ -45,7 +45,7 @@
 struct HttpFrontendHooks {
   std::function<void(CallId, HttpRequest)> on_request;
   // The connection ended before the answer; a later Answer has no effect.
-  std::function<void(CallId)> on_gone;
+  std::function<void(CallId)> on_caller_gone;
   // A connection ended with an error; `open_calls` of its calls were not
   // answered. May be unset.
   std::function<void(const std::string& message, size_t open_calls)> on_error;
--- a/src/libhost/http_frontend_test.cc
+++ b/src/libhost/http_frontend_test.cc
@@ -19,13 +19,13 @@
     hooks.on_request = [this](CallId call, HttpRequest request) {
       requests.emplace_back(call, std::move(request));
     };
-    hooks.on_gone = [this](CallId call) { gone.push_back(call); };
+    hooks.on_caller_gone = [this](CallId call) { gone.push_back(call); };
     frontend = std::make_unique<HttpFrontend>(io, Endpoint{"127.0.0.1", 0},
                                               options, intake, hooks);
   }
 
-  std::shared_ptr<RawPeer> Connect() {
-    return RawPeer::Connect(io, frontend->port());
+  std::shared_ptr<RawConnection> Connect() {
+    return RawConnection::Connect(io, frontend->port());
   }
 
   bool Until(const std::function<bool()>& condition) {
@@ -127,13 +127,13 @@
 static void CheckRefused(HttpFrontend& frontend, asio::io_context& io,
                          std::vector<std::pair<CallId, HttpRequest>>& requests,
                          const std::string& sent, const std::string& status) {
-  const auto peer = RawPeer::Connect(io, frontend.port());
+  const auto peer = RawConnection::Connect(io, frontend.port());
   peer->Write(sent);
   CHECK(RunUntil(io, [&] { return peer->ended; }));
   CHECK_EQUAL(0u, peer->received.find("HTTP/1.1 " + status));
   CHECK_EQUAL(1u, CountOf(peer->received, "\"verdict\":\"not-run\""));
   const size_t before = requests.size();
-  const auto next = RawPeer::Connect(io, frontend.port());
+  const auto next = RawConnection::Connect(io, frontend.port());
   next->Write("GET /next HTTP/1.1\r\n\r\n");
   CHECK(RunUntil(io, [&] { return requests.size() == before + 1; }));
   frontend.Answer(requests.back().first, {200, {}, Body("served")});
@@ -273,11 +273,11 @@
   hooks.on_request = [&](CallId call, const HttpRequest&) {
     operator_calls.push_back(call);
   };
-  hooks.on_gone = [](CallId) {};
+  hooks.on_caller_gone = [](CallId) {};
   HttpFrontend operators(io, {"127.0.0.1", 0}, {}, intake, hooks);
   const auto peer = Connect();
   peer->Write("GET / HTTP/1.1\r\n\r\n");
-  const auto other = RawPeer::Connect(io, operators.port());
+  const auto other = RawConnection::Connect(io, operators.port());
   other->Write("GET / HTTP/1.1\r\n\r\n");
   CHECK(Until([&] { return requests.size() + operator_calls.size() == 2; }));
   CHECK(requests[0].first != operator_calls[0]);
--- a/src/libhost/http_transfer.cc
+++ b/src/libhost/http_transfer.cc
@@ -58,7 +58,7 @@
                    static_cast<long>(options_.connect_timeout.count()));
   curl_easy_setopt(easy_, CURLOPT_MAXAGE_CONN,
                    static_cast<long>(options_.max_idle_age.count()));
-  if (options_.silence_limit.count() > 0) SetKeepAlive(options_.silence_limit);
+  if (options_.ack_timeout.count() > 0) SetKeepAlive(options_.ack_timeout);
 }
 
 bool HttpTransfer::Prepare(const std::string& base_url, HttpRequest request,
@@ -271,7 +271,7 @@
   curl_easy_getinfo(easy_, CURLINFO_RESPONSE_CODE, &status);
   response_.status = static_cast<int>(status);
   const bool is_complete =
-      HasKnownLength() || options_.body_may_end_with_connection;
+      HasKnownLength() || options_.accept_close_delimited_body;
   if (status < 200 || status > 999 || !is_complete) {
     return FailureResult(Reason::kServerError);
   }
--- a/src/libhost/log_sink.cc
+++ b/src/libhost/log_sink.cc
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "libhost/unblocking_sink.h"
+#include "libhost/non_blocking_sink.h"
 
 namespace amaranth::pvt {
 namespace {
--- a/src/libhost/unblocking_sink.cc
+++ b/src/libhost/non_blocking_sink.cc
@@ -1,4 +1,4 @@
-#include "libhost/unblocking_sink.h"
+#include "libhost/non_blocking_sink.h"
 
 #include <poll.h>
 #include <unistd.h>
--- a/src/libhost/unblocking_sink.h
+++ b/src/libhost/non_blocking_sink.h
@@ -1,5 +1,5 @@
-#ifndef AMARANTHROUTE_LIBHOST_UNBLOCKING_SINK_H_
-#define AMARANTHROUTE_LIBHOST_UNBLOCKING_SINK_H_
+#ifndef AMARANTHROUTE_LIBHOST_NON_BLOCKING_SINK_H_
+#define AMARANTHROUTE_LIBHOST_NON_BLOCKING_SINK_H_
 
 // Writes log lines to a file descriptor without blocking. If the reader of a
 // pipe stops reading (for example, a stuck log collector), the pipe fills up,
@@ -36,4 +36,4 @@
 
 }  // namespace amaranth::pvt
 
-#endif  // AMARANTHROUTE_LIBHOST_UNBLOCKING_SINK_H_
+#endif  // AMARANTHROUTE_LIBHOST_NON_BLOCKING_SINK_H_
--- a/src/libhost/unblocking_sink_test.cc
+++ b/src/libhost/non_blocking_sink_test.cc
@@ -1,4 +1,4 @@
-#include "libhost/unblocking_sink.h"
+#include "libhost/non_blocking_sink.h"
 
 #include <CppUTest/TestHarness.h>
 #include <fcntl.h>
--- a/src/libhost/peer_link.cc
+++ b/src/libhost/peer_link.cc
@@ -112,7 +112,7 @@
 
 void PeerLink::EnqueueHello(const Hello& self) {
   const PeerMessage hello = self;
-  std::string frame = Frame(EncodePeerMessage(hello));
+  std::string frame = EncodeFrame(EncodePeerMessage(hello));
   queued_bytes_ += frame.size();
   queue_.push_back(Outgoing{hello, std::move(frame)});
   hello_queued_ = true;
--- a/src/libhost/peer_transport.cc
+++ b/src/libhost/peer_transport.cc
@@ -160,7 +160,7 @@
   std::string payload = sendable ? EncodePeerMessage(message) : std::string();
   const bool fits = sendable && payload.size() <= kMaxFrameBytes;
   const Link link = fits ? FindOrDialLink(peer, address) : nullptr;
-  if (!link || !link->Enqueue(message, Frame(payload))) {
+  if (!link || !link->Enqueue(message, EncodeFrame(payload))) {
     Notify(NotificationKind::kSendFailed, NodeRef{peer, 0}, std::move(message));
   }
 }
--- a/src/libhost/peer_transport_test.cc
+++ b/src/libhost/peer_transport_test.cc
@@ -70,9 +70,9 @@
 };
 
 // A peer that sends exactly the bytes that the test gives it.
-class RawPeer {
+class RawConnection {
  public:
-  explicit RawPeer(asio::io_context& io) : socket_(io), acceptor_(io) {}
+  explicit RawConnection(asio::io_context& io) : socket_(io), acceptor_(io) {}
 
   void Listen() {
     const tcp::endpoint any(asio::ip::address_v4::loopback(), 0);
@@ -91,7 +91,7 @@
     asio::write(socket_, asio::buffer(bytes));
   }
   void Send(const PeerMessage& message) {
-    Send(Frame(EncodePeerMessage(message)));
+    Send(EncodeFrame(EncodePeerMessage(message)));
   }
   void Close() { socket_.close(); }
   // Discards all received bytes; returns true once the remote end has closed
@@ -128,7 +128,7 @@
 };
 
 // Like RunUntil, but checks `done` every millisecond, as the event loop has no
-// handler for the sockets of a RawPeer.
+// handler for the sockets of a RawConnection.
 void PollUntil(asio::io_context& io, const std::function<bool()>& done) {
   asio::steady_timer timer(io);
   std::function<void()> poll_again = [&] {
@@ -219,7 +219,7 @@
   PeerLimits limits;
   limits.connect_timeout = std::chrono::milliseconds(20);
   TestNode one(io, MakeHello("n1", 1), limits);
-  RawPeer unresponsive(io);
+  RawConnection unresponsive(io);
   unresponsive.Listen();
   one.transport.Send("n2", unresponsive.address(), LinkPing{1});
   RunUntil(io, [&] { return one.unsent.size() == 1; });
@@ -232,14 +232,14 @@
 // must not be reported as unsent, and the peer is reported lost once.
 TEST(PeerTransport, PeerClosingAfterReceivingAMessageMeansLost) {
   TestNode one(io, MakeHello("n1", 1));
-  RawPeer peer(io);
+  RawConnection peer(io);
   peer.Listen();
   one.transport.Send("n2", peer.address(), LinkPing{1});
   peer.Accept();
   peer.Send(MakeHello("n2", 1));
   PollUntil(io, [&] { return peer.HasFrames(2); });
   peer.Send(LinkPong{1});
-  peer.Send(Frame(EncodePeerMessage(LinkPong{2})).substr(0, 5));
+  peer.Send(EncodeFrame(EncodePeerMessage(LinkPong{2})).substr(0, 5));
   peer.Close();
   RunUntil(io, [&] { return one.log.size() == 2; });
   CHECK(one.log == std::vector<std::string>({"got from n2#1", "lost n2"}));
@@ -251,7 +251,7 @@
 TEST(PeerTransport, UnsentMessagesAreReportedBeforeTheLoss) {
   constexpr size_t kMessages = 64;
   TestNode one(io, MakeHello("n1", 1));
-  RawPeer peer(io);
+  RawConnection peer(io);
   peer.Listen();
   SettingsSnapshot snapshot;
   snapshot.text = std::string(512u << 10, 's');
@@ -281,12 +281,12 @@
 // one.
 TEST(PeerTransport, NewIncarnationClosesTheOldLinkFirst) {
   TestNode one(io, MakeHello("n1", 1));
-  RawPeer old_process(io);
+  RawConnection old_process(io);
   old_process.Connect(one.address());
   old_process.Send(MakeHello("n2", 5));
   old_process.Send(LinkPing{1});
   RunUntil(io, [&] { return one.log.size() == 1; });
-  RawPeer new_process(io);
+  RawConnection new_process(io);
   new_process.Connect(one.address());
   new_process.Send(MakeHello("n2", 6));
   new_process.Send(LinkPing{2});
@@ -304,13 +304,13 @@
   PeerLimits limits;
   limits.min_replace_age = std::chrono::milliseconds(0);
   TestNode one(io, MakeHello("n1", 1), limits);
-  RawPeer stale(io);
+  RawConnection stale(io);
   stale.Listen();
   one.transport.Send("n2", stale.address(), LinkPing{1});
   stale.Accept();
   stale.Send(MakeHello("n2", 5));
   PollUntil(io, [&] { return stale.HasFrames(2); });
-  RawPeer reconnected(io);
+  RawConnection reconnected(io);
   reconnected.Connect(one.address());
   reconnected.Send(MakeHello("n2", 5));
   reconnected.Send(LinkPing{2});
@@ -329,13 +329,13 @@
   PeerLimits limits;
   limits.min_replace_age = std::chrono::hours(1);
   TestNode one(io, MakeHello("n1", 1), limits);
-  RawPeer dialled(io);
+  RawConnection dialled(io);
   dialled.Listen();
   one.transport.Send("n2", dialled.address(), LinkPing{1});
   dialled.Accept();
   dialled.Send(MakeHello("n2", 5));
   PollUntil(io, [&] { return dialled.HasFrames(2); });
-  RawPeer accepted(io);
+  RawConnection accepted(io);
   accepted.Connect(one.address());
   accepted.Send(MakeHello("n2", 5));
   accepted.Send(LinkPing{2});
@@ -346,12 +346,12 @@
 
 TEST(PeerTransport, EarlierIncarnationIsRejectedWhileTheLaterIsConnected) {
   TestNode one(io, MakeHello("n1", 1));
-  RawPeer new_process(io);
+  RawConnection new_process(io);
   new_process.Connect(one.address());
   new_process.Send(MakeHello("n2", 6));
   new_process.Send(LinkPing{1});
   RunUntil(io, [&] { return one.log.size() == 1; });
-  RawPeer old_process(io);
+  RawConnection old_process(io);
   old_process.Connect(one.address());
   old_process.Send(MakeHello("n2", 5));
   old_process.Send(LinkPing{2});
@@ -387,23 +387,23 @@
 // other links stay open.
 TEST(PeerTransport, InvalidFirstFramesCloseOnlyTheirLink) {
   TestNode one(io, MakeHello("n1", 1));
-  RawPeer established(io);
+  RawConnection established(io);
   established.Connect(one.address());
   established.Send(MakeHello("n2", 1));
   const std::vector<std::string> invalid_openings = {
       "GET / HTTP/1.1\r\n\r\n",
       std::string("\xff\xff\xff\xff", 4),
-      Frame("not a message"),
-      Frame(""),
-      Frame(EncodePeerMessage(LinkPing{1})),
-      Frame(EncodePeerMessage(MakeHello("n3", 1, "other"))),
-      Frame(EncodePeerMessage(MakeHello("", 1))),
-      Frame(EncodePeerMessage(MakeHello(std::string(8192, 'n'), 1))),
-      Frame(EncodePeerMessage(MakeHello("n3", 1))) +
-          Frame(EncodePeerMessage(MakeHello("n3", 1))),
+      EncodeFrame("not a message"),
+      EncodeFrame(""),
+      EncodeFrame(EncodePeerMessage(LinkPing{1})),
+      EncodeFrame(EncodePeerMessage(MakeHello("n3", 1, "other"))),
+      EncodeFrame(EncodePeerMessage(MakeHello("", 1))),
+      EncodeFrame(EncodePeerMessage(MakeHello(std::string(8192, 'n'), 1))),
+      EncodeFrame(EncodePeerMessage(MakeHello("n3", 1))) +
+          EncodeFrame(EncodePeerMessage(MakeHello("n3", 1))),
   };
   for (const std::string& first_bytes : invalid_openings) {
-    RawPeer client(io);
+    RawConnection client(io);
     client.Connect(one.address());
     client.Send(first_bytes);
     PollUntil(io, [&] { return client.IsClosedByRemote(); });
@@ -417,9 +417,9 @@
   limits.max_pending_handshakes = 1;
   limits.connect_timeout = std::chrono::milliseconds(50);
   TestNode one(io, MakeHello("n1", 1), limits);
-  RawPeer first(io);
+  RawConnection first(io);
   first.Connect(one.address());
-  RawPeer second(io);
+  RawConnection second(io);
   second.Connect(one.address());
   PollUntil(io, [&] {
     return second.IsClosedByRemote() && first.IsClosedByRemote();
--- a/src/libhost/platform_bridge.h
+++ b/src/libhost/platform_bridge.h
@@ -15,7 +15,7 @@
 namespace amaranth::pvt {
 
 // Returns a function that sends requests with `http` and keeps it alive.
-inline HttpCall HttpCallOn(const std::shared_ptr<HttpClient>& http) {
+inline HttpCall MakeHttpCall(const std::shared_ptr<HttpClient>& http) {
   return
       [http](const Endpoint& endpoint, HttpRequest request, Duration timeout,
              const PlatformCredentials* credentials, HttpClientCallback done) {
@@ -32,7 +32,7 @@
  public:
   PlatformBridge(asio::io_context& io, PlatformOptions options)
       : http_(std::make_shared<HttpClient>(io, HttpClientOptions{})),
-        client_(std::move(options), HttpCallOn(http_)) {}
+        client_(std::move(options), MakeHttpCall(http_)) {}
 
   // Calls `done` exactly once, possibly before returning.
   void Call(const PlatformRequest& request,
--- a/src/libhost/test_io.h
+++ b/src/libhost/test_io.h
@@ -44,14 +44,16 @@
 }
 
 // A TCP connection that collects everything it reads.
-class RawPeer : public std::enable_shared_from_this<RawPeer> {
+class RawConnection : public std::enable_shared_from_this<RawConnection> {
  public:
-  explicit RawPeer(asio::ip::tcp::socket socket) : socket_(std::move(socket)) {}
+  explicit RawConnection(asio::ip::tcp::socket socket)
+      : socket_(std::move(socket)) {}
 
-  static std::shared_ptr<RawPeer> Connect(asio::io_context& io, uint16_t port) {
+  static std::shared_ptr<RawConnection> Connect(asio::io_context& io,
+                                                uint16_t port) {
     asio::ip::tcp::socket socket(io);
     socket.connect({asio::ip::make_address("127.0.0.1"), port});
-    auto peer = std::make_shared<RawPeer>(std::move(socket));
+    auto peer = std::make_shared<RawConnection>(std::move(socket));
     peer->Read();
     return peer;
   }
@@ -84,7 +86,7 @@
 
   std::string received;
   bool ended = false;
-  std::function<void(RawPeer&)> on_data;
+  std::function<void(RawConnection&)> on_data;
 
  private:
   asio::ip::tcp::socket socket_;
@@ -95,7 +97,7 @@
 // received more.
 class RawServer {
  public:
-  RawServer(asio::io_context& io, std::function<void(RawPeer&)> on_data)
+  RawServer(asio::io_context& io, std::function<void(RawConnection&)> on_data)
       : acceptor_(io, {asio::ip::make_address("127.0.0.1"), 0}),
         on_data_(std::move(on_data)) {
     Accept();
@@ -104,14 +106,14 @@
   uint16_t port() const { return acceptor_.local_endpoint().port(); }
   void Close() { acceptor_.close(); }
 
-  std::vector<std::shared_ptr<RawPeer>> peers;
+  std::vector<std::shared_ptr<RawConnection>> peers;
 
  private:
   void Accept() {
     acceptor_.async_accept(
         [this](const asio::error_code& error, asio::ip::tcp::socket socket) {
           if (error) return;
-          peers.push_back(std::make_shared<RawPeer>(std::move(socket)));
+          peers.push_back(std::make_shared<RawConnection>(std::move(socket)));
           peers.back()->on_data = on_data_;
           peers.back()->Read();
           Accept();
@@ -119,7 +121,7 @@
   }
 
   asio::ip::tcp::acceptor acceptor_;
-  std::function<void(RawPeer&)> on_data_;
+  std::function<void(RawConnection&)> on_data_;
 };
 
 }  // namespace amaranth::pvt
--- a/src/libnode/deployment_rules_test.cc
+++ b/src/libnode/deployment_rules_test.cc
@@ -72,7 +72,7 @@
     NodeIdentity identity;
     identity.node = {"a1", 1};
     identity.use_platform = false;
-    identity.rules.ids_name_sendings = true;
+    identity.rules.request_id_per_send = true;
     identity.rules.announce_port = true;
     node.emplace(identity);
     node->Start(now);
--- a/src/libnode/entry/entry_attempts.cc
+++ b/src/libnode/entry/entry_attempts.cc
@@ -178,7 +178,7 @@
     return;
   }
   const bool caller_resends =
-      context.identity.rules.callers_repeat && call.is_root;
+      context.identity.rules.callers_resend && call.is_root;
   if (IsRetryableStatus(answer.response.status) && !final && !caller_resends &&
       call.context.idempotent &&
       StartNextAttempt(call, Reason::kServerError, context)) {
@@ -250,7 +250,7 @@
                          const DeploymentRules& rules) const {
   if (failure.final || RetryCannotHelp(failure.reason)) return false;
   const bool outcome_unknown = failure.verdict != Verdict::kNotRun;
-  if (outcome_unknown && rules.callers_repeat && call.is_root) return false;
+  if (outcome_unknown && rules.callers_resend && call.is_root) return false;
   return failure.verdict == Verdict::kNotRun || call.context.idempotent;
 }
 
--- a/src/libnode/entry/entry_begin.cc
+++ b/src/libnode/entry/entry_begin.cc
@@ -125,7 +125,7 @@
                               context);
   }
   Call call = std::move(built.value());
-  if (!context.identity.rules.ids_name_sendings) AssignKey(call, headers);
+  if (!context.identity.rules.request_id_per_send) AssignKey(call, headers);
   if (!parts_.membership.IsServiceKnown(headers.service)) {
     ReturnGrant(call);
     // This node knows no server of the service, but an earlier request with the
@@ -142,7 +142,7 @@
   }
   parts_.stats.Count("amaranth_requests_total");
   call.joinable = call.is_root && !headers.request_id.empty() &&
-                  !context.identity.rules.ids_name_sendings;
+                  !context.identity.rules.request_id_per_send;
   if (JoinInFlight(call, waiter)) return;
   call.waiters.push_back(waiter);
   if (RefuseNestedRetry(call, context)) return;
--- a/src/libnode/entry/entry_finish.cc
+++ b/src/libnode/entry/entry_finish.cc
@@ -181,7 +181,7 @@
     HttpResponse answer = response;
     // Every answer carries a ticket, so that the caller's next renewal does not
     // depend on the platform.
-    if (!context.identity.rules.ids_name_sendings) {
+    if (!context.identity.rules.request_id_per_send) {
       SetHeader(answer.headers, kTicketHeader,
                 FormatTicket(keys_.IssueTicket(context)));
     }
--- a/src/libnode/node_state.cc
+++ b/src/libnode/node_state.cc
@@ -134,7 +134,7 @@
   Failure failure;
   // An earlier request under the same key may have run through another node.
   const bool may_be_resend =
-      !identity.rules.ids_name_sendings && IsKeyed(event.request);
+      !identity.rules.request_id_per_send && IsKeyed(event.request);
   failure.verdict = may_be_resend ? Verdict::kMayHaveRun : Verdict::kNotRun;
   failure.reason = reason;
   failure.retry_after = RetryAfter(0, 0, random);
--- a/src/libnode/serving/serving_role.cc
+++ b/src/libnode/serving/serving_role.cc
@@ -246,7 +246,7 @@
   // of an unresponsive connection either, where calls wait for nested calls:
   // with a shorter timeout the whole request would fail although the server is
   // still processing it.
-  if (rules.ids_name_sendings) return remaining;
+  if (rules.request_id_per_send) return remaining;
   // A non-idempotent call cannot be retried on another connection. An earlier
   // timeout would only lose an answer that may still arrive, and that a resend
   // under the same key asks for.
@@ -300,7 +300,7 @@
     // begun, and a resend under the same key may ask for the answer.
     const bool keep = hop.state == HopState::kDispatched &&
                       !hop.context.idempotent &&
-                      !context.identity.rules.ids_name_sendings;
+                      !context.identity.rules.request_id_per_send;
     if (!keep) Cancel(hop, context);
   }
 }
--- a/src/libplatform/claim_run.cc
+++ b/src/libplatform/claim_operation.cc
@@ -1,4 +1,4 @@
-#include "libplatform/claim_run.h"
+#include "libplatform/claim_operation.h"
 
 #include <set>
 #include <utility>
--- a/src/libplatform/claim_run.h
+++ b/src/libplatform/claim_operation.h
@@ -1,5 +1,5 @@
-#ifndef AMARANTHROUTE_LIBPLATFORM_CLAIM_RUN_H_
-#define AMARANTHROUTE_LIBPLATFORM_CLAIM_RUN_H_
+#ifndef AMARANTHROUTE_LIBPLATFORM_CLAIM_OPERATION_H_
+#define AMARANTHROUTE_LIBPLATFORM_CLAIM_OPERATION_H_
 
 #include <map>
 #include <memory>
@@ -61,4 +61,4 @@
 
 }  // namespace amaranth::pvt
 
-#endif  // AMARANTHROUTE_LIBPLATFORM_CLAIM_RUN_H_
+#endif  // AMARANTHROUTE_LIBPLATFORM_CLAIM_OPERATION_H_
--- a/src/libplatform/table_codec.h
+++ b/src/libplatform/table_codec.h
@@ -2,8 +2,8 @@
 #define AMARANTHROUTE_LIBPLATFORM_TABLE_CODEC_H_
 
 // Encoding of the table service's protocol, DynamoDB's JSON 1.0: builds
-// requests and parses answers. table_store.cc and claim_run.cc decide what to
-// send and how to act on the answers.
+// requests and parses answers. table_store.cc and claim_operation.cc decide
+// what to send and how to act on the answers.
 
 #include <cstdint>
 #include <optional>
--- a/src/libplatform/table_store.cc
+++ b/src/libplatform/table_store.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "libplatform/claim_run.h"
+#include "libplatform/claim_operation.h"
 
 namespace amaranth::pvt {
 namespace {
--- a/src/libwire/frame.cc
+++ b/src/libwire/frame.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::string Frame(std::string_view payload) {
+std::string EncodeFrame(std::string_view payload) {
   std::string frame;
   frame.reserve(kPrefixBytes + payload.size());
   for (size_t i = kPrefixBytes; i-- > 0;) {
--- a/src/libwire/wire_test.cc
+++ b/src/libwire/wire_test.cc
@@ -171,7 +171,7 @@
   CHECK(rc::check([](const std::vector<std::string>& payloads) {
     std::string stream;
     for (const std::string& payload : payloads) {
-      stream += Frame(payload);
+      stream += EncodeFrame(payload);
     }
     FrameReader reader;
     std::vector<std::string> received;
@@ -189,21 +189,21 @@
 }
 
 TEST(Frames, LengthIsFourBytesBigEndian) {
-  CHECK(Frame("abc") == std::string("\0\0\0\3abc", 7));
+  CHECK(EncodeFrame("abc") == std::string("\0\0\0\3abc", 7));
 }
 
 TEST(Frames, OversizedFrameFailsTheStreamPermanently) {
   FrameReader reader(4);
-  reader.Append(Frame("abcd") + Frame("abcde"));
+  reader.Append(EncodeFrame("abcd") + EncodeFrame("abcde"));
   CHECK(reader.Next().value() == std::string("abcd"));
   CHECK(reader.Next().error().code == ErrorCode::kTooLarge);
-  reader.Append(Frame("ab"));
+  reader.Append(EncodeFrame("ab"));
   CHECK(!reader.Next());
 }
 
 TEST(Frames, BurstsOfSmallFramesAreAllReturned) {
   FrameReader reader;
-  const std::string frame = Frame(std::string(1000, 'x'));
+  const std::string frame = EncodeFrame(std::string(1000, 'x'));
   for (int i = 0; i < 300; ++i) {
     reader.Append(frame);
   }
