--- a/src/libnode/settings/settings_cache.h
+++ b/src/libnode/settings/settings_cache.h
@@ -1,8 +1,9 @@
 #ifndef AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_CACHE_H_
 #define AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_CACHE_H_
 
-// Resolved settings by service and class, kept until the version changes:
-// walking the tree for each call would cost more than the call's own decisions.
+// Caches resolved settings by service and request class until the settings
+// version changes: resolving them from the tree for each call would cost more
+// than the other decisions about the call.
 
 #include <map>
 #include <string>
@@ -36,7 +37,8 @@
   const RouteTable& routes() const { return store_.routes(); }
 
  private:
-  // Callers choose class names; the cache must not grow with them.
+  // Callers choose class names, so the cache size must be bounded: it is
+  // cleared when it exceeds this many entries.
   static constexpr size_t kMaxEntries = 10'000;
 
   const SettingsStore& store_;
--- a/src/libnode/settings/settings_change.cc
+++ b/src/libnode/settings/settings_change.cc
@@ -14,16 +14,18 @@
 
 using Json = nlohmann::json;
 
-// An operator waits this long at most; a slow platform mostly answers within.
+// Longest time until the operator is answered; a slow platform usually responds
+// within it.
 constexpr Duration kChangeTimeout = std::chrono::seconds(8);
-// The shell ends each operation; this only covers an end that never came.
+// The platform client has a timeout of its own for each operation; this one
+// only covers a reply that never arrives.
 constexpr Duration kStepTimeout = std::chrono::seconds(3);
-constexpr Duration kRetryPause = std::chrono::milliseconds(250);
-constexpr Duration kComeBackAfter = std::chrono::seconds(5);
-// Losing more races than this means that others change the same fleet in a
-// tight loop; the operator should look before going on.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
+constexpr Duration kRetryAfter = std::chrono::seconds(5);
+// Losing more races than this means that other operators change the same fleet
+// in a tight loop; the operator should check before continuing.
 constexpr int kMaxRebases = 3;
-// A snapshot goes to every node in one frame.
+// A snapshot is sent to each node in a single frame.
 constexpr size_t kMaxSnapshotBytes = 1u << 20;
 
 bool Failed(const PlatformReply& reply) {
@@ -31,7 +33,7 @@
          reply.status == PlatformStatus::kUnknown;
 }
 
-std::string ErrorText(const char* error, const std::string& message) {
+std::string ErrorJson(const char* error, const std::string& message) {
   return Json({{"error", error}, {"message", message}}).dump();
 }
 
@@ -44,10 +46,10 @@
 void SettingsChangeRun::Start(Context& context) {
   deadline_ = context.now + kChangeTimeout;
   if (request_.changes.empty()) {
-    Answer(400, ErrorText("invalid", "no changes given"), Duration(0), context);
+    Answer(400, ErrorJson("invalid", "no changes given"), Duration(0), context);
     return;
   }
-  Take(Step::kReadHead, context);
+  StartStep(Step::kReadHead, context);
 }
 
 bool SettingsChangeRun::OnPlatformReplied(const PlatformReplied& replied,
@@ -62,12 +64,12 @@
 void SettingsChangeRun::OnTimer(Context& context) {
   if (finished()) return;
   if (context.now >= deadline_) {
-    GiveUp(context);
+    AnswerUnavailable(context);
     return;
   }
   if (context.now < step_deadline_) return;
   if (step_ == Step::kWaitRetry) {
-    Take(retry_step_, context);
+    StartStep(retry_step_, context);
     return;
   }
   OnReply(step_, PlatformReply(), context);
@@ -77,25 +79,26 @@
   return finished() ? kNever : std::min(deadline_, step_deadline_);
 }
 
-void SettingsChangeRun::Take(Step step, Context& context) {
+void SettingsChangeRun::StartStep(Step step, Context& context) {
   step_ = step;
   op_ = context.NextId();
   step_deadline_ = context.now + kStepTimeout;
   if (step == Step::kMoveHead) {
-    in_doubt_before_ = move_in_doubt_;
-    move_in_doubt_ = true;
+    earlier_move_outcome_unknown_ = move_outcome_unknown_;
+    move_outcome_unknown_ = true;
   }
-  context.Emit(SendPlatform{op_, RequestOf(step)});
+  context.Emit(SendPlatform{op_, RequestFor(step)});
 }
 
-PlatformRequest SettingsChangeRun::RequestOf(Step step) const {
+PlatformRequest SettingsChangeRun::RequestFor(Step step) const {
   switch (step) {
     case Step::kGetBase:
       return ObjectGet{head_.object};
     case Step::kPutSnapshot:
-      return ObjectPut{object_, next_text_};
+      return ObjectPut{next_object_, next_text_};
     case Step::kMoveHead:
-      return TableMoveHead{base_.version, next_.version, object_, change_id_};
+      return TableMoveHead{base_.version, next_document_.version, next_object_,
+                           change_id_};
     case Step::kReadChange:
       return TableReadChange{change_id_};
     case Step::kReadHead:
@@ -109,162 +112,169 @@
 void SettingsChangeRun::RetryLater(Step step, Context& context) {
   step_ = Step::kWaitRetry;
   retry_step_ = step;
-  step_deadline_ = context.now + kRetryPause;
+  step_deadline_ = context.now + kRetryDelay;
 }
 
 void SettingsChangeRun::OnReply(Step step, const PlatformReply& reply,
                                 Context& context) {
   switch (step) {
     case Step::kReadHead:
-      return OnHead(reply, context);
+      return OnHeadReply(reply, context);
     case Step::kGetBase:
-      return OnBase(reply, context);
+      return OnBaseReply(reply, context);
     case Step::kPutSnapshot:
-      return OnPut(reply, context);
+      return OnPutReply(reply, context);
     case Step::kMoveHead:
-      return OnMoved(reply, context);
+      return OnMoveReply(reply, context);
     case Step::kReadChange:
-      return OnChangeRead(reply, context);
+      return OnChangeReply(reply, context);
     case Step::kWaitRetry:
     case Step::kFinished:
       return;
   }
 }
 
-void SettingsChangeRun::OnHead(const PlatformReply& reply, Context& context) {
+void SettingsChangeRun::OnHeadReply(const PlatformReply& reply,
+                                    Context& context) {
   if (Failed(reply)) {
     RetryLater(Step::kReadHead, context);
     return;
   }
   head_ = {reply.version, reply.bytes};
   if (head_.version < base_.version) {
-    // The table forgot a version that was in force. Building on the older one
-    // would bring it back, so nothing is changed until the table is whole.
+    // The table lost a version that was in force. A change based on the older
+    // version would revert the lost one, so nothing is changed until the table
+    // has caught up.
     RetryLater(Step::kReadHead, context);
     return;
   }
   if (request_.expected_version &&
       *request_.expected_version != head_.version) {
-    Conflict(head_.version, context);
+    AnswerConflict(head_.version, context);
     return;
   }
   if (head_.version == base_.version) {
-    Build(context);
+    BuildSnapshot(context);
     return;
   }
-  Take(Step::kGetBase, context);
+  StartStep(Step::kGetBase, context);
 }
 
-void SettingsChangeRun::OnBase(const PlatformReply& reply, Context& context) {
-  const bool whole = reply.status == PlatformStatus::kOk &&
+void SettingsChangeRun::OnBaseReply(const PlatformReply& reply,
+                                    Context& context) {
+  const bool valid = reply.status == PlatformStatus::kOk &&
                      ObjectNameMatches(head_.object, reply.bytes);
-  if (!whole) {
+  if (!valid) {
     RetryLater(Step::kGetBase, context);
     return;
   }
   Outcome<SettingsDocument> base = ParseDocument(reply.bytes);
   if (!base || base.value().version != head_.version) {
-    Answer(500, ErrorText("snapshot", "the snapshot in force cannot be read"),
+    Answer(500,
+           ErrorJson("snapshot",
+                     "the settings snapshot in force cannot be parsed"),
            Duration(0), context);
     return;
   }
   base_ = std::move(base.value());
-  if (first_base_ && CollidesSince(*first_base_)) {
-    Conflict(head_.version, context);
+  if (first_base_version_ && ConflictsSince(*first_base_version_)) {
+    AnswerConflict(head_.version, context);
     return;
   }
-  Build(context);
+  BuildSnapshot(context);
 }
 
-void SettingsChangeRun::Build(Context& context) {
-  if (!first_base_) first_base_ = base_.version;
+void SettingsChangeRun::BuildSnapshot(Context& context) {
+  if (!first_base_version_) first_base_version_ = base_.version;
   change_id_ = NewChangeId(context);
-  next_ = NextDocument(base_, request_.changes, request_.author, change_id_);
-  std::vector<std::string> faults = next_.tree.Validate();
-  next_text_ = ToText(next_);
+  next_document_ =
+      NextDocument(base_, request_.changes, request_.author, change_id_);
+  std::vector<std::string> errors = next_document_.tree.Validate();
+  next_text_ = ToText(next_document_);
   if (next_text_.size() > kMaxSnapshotBytes) {
-    faults.emplace_back("the settings are larger than 1 MiB");
+    errors.emplace_back("the settings are larger than 1 MiB");
   }
-  if (!faults.empty()) {
-    const Json json = {{"error", "invalid"}, {"errors", faults}};
+  if (!errors.empty()) {
+    const Json json = {{"error", "invalid"}, {"errors", errors}};
     Answer(400, json.dump(-1, ' ', false, Json::error_handler_t::replace),
            Duration(0), context);
     return;
   }
-  object_ = ObjectName(next_.version, change_id_, next_text_);
-  move_in_doubt_ = false;
+  next_object_ = ObjectName(next_document_.version, change_id_, next_text_);
+  move_outcome_unknown_ = false;
   condition_failed_ = false;
-  Take(Step::kPutSnapshot, context);
+  StartStep(Step::kPutSnapshot, context);
 }
 
-void SettingsChangeRun::OnPut(const PlatformReply& reply, Context& context) {
-  // The name holds the change id: an object that is there already is ours,
-  // from a put whose answer was lost.
+void SettingsChangeRun::OnPutReply(const PlatformReply& reply,
+                                   Context& context) {
+  // The object name contains the change id, so an object that already exists
+  // comes from an earlier put of this change whose reply was lost.
   if (reply.status == PlatformStatus::kOk ||
       reply.status == PlatformStatus::kConditionFailed) {
-    Take(Step::kMoveHead, context);
+    StartStep(Step::kMoveHead, context);
     return;
   }
   RetryLater(Step::kPutSnapshot, context);
 }
 
-void SettingsChangeRun::OnMoved(const PlatformReply& reply, Context& context) {
+void SettingsChangeRun::OnMoveReply(const PlatformReply& reply,
+                                    Context& context) {
   switch (reply.status) {
     case PlatformStatus::kOk:
-      Accepted(context);
+      AnswerAccepted(context);
       return;
     case PlatformStatus::kUnreachable:
-      move_in_doubt_ = in_doubt_before_;
+      move_outcome_unknown_ = earlier_move_outcome_unknown_;
       RetryLater(Step::kMoveHead, context);
       return;
     case PlatformStatus::kConditionFailed:
-      // The one who moved the head may be ourselves, by an earlier move whose
-      // answer was lost or that a library below sent twice.
+      // The head may have been moved by this change: by an earlier move whose
+      // reply was lost, or by a move that a lower layer sent twice.
       condition_failed_ = true;
-      Take(Step::kReadChange, context);
+      StartStep(Step::kReadChange, context);
       return;
     case PlatformStatus::kNotFound:
     case PlatformStatus::kUnknown:
-      Take(Step::kReadChange, context);
+      StartStep(Step::kReadChange, context);
       return;
   }
 }
 
-void SettingsChangeRun::OnChangeRead(const PlatformReply& reply,
-                                     Context& context) {
+void SettingsChangeRun::OnChangeReply(const PlatformReply& reply,
+                                      Context& context) {
   if (Failed(reply)) {
     RetryLater(Step::kReadChange, context);
     return;
   }
   if (reply.status == PlatformStatus::kOk && reply.version != 0) {
-    Accepted(context);
+    AnswerAccepted(context);
     return;
   }
   if (condition_failed_) {
-    LostRace(context);
+    RebaseAfterLostRace(context);
     return;
   }
   RetryLater(Step::kMoveHead, context);
 }
 
-void SettingsChangeRun::Accepted(Context& context) {
-  if (on_accepted) on_accepted(next_, next_text_, context);
-  const Json json = {{"version", next_.version}, {"change_id", change_id_}};
+void SettingsChangeRun::AnswerAccepted(Context& context) {
+  if (on_accepted) on_accepted(next_document_, next_text_, context);
+  const Json json = {{"version", next_document_.version},
+                     {"change_id", change_id_}};
   Answer(200, json.dump(), Duration(0), context);
 }
 
-void SettingsChangeRun::LostRace(Context& context) {
-  move_in_doubt_ = false;
+void SettingsChangeRun::RebaseAfterLostRace(Context& context) {
+  move_outcome_unknown_ = false;
   if (++rebases_ > kMaxRebases) {
-    Conflict(next_.version, context);
+    AnswerConflict(next_document_.version, context);
     return;
   }
-  Take(Step::kReadHead, context);
+  StartStep(Step::kReadHead, context);
 }
 
-// True if somebody changed one of our paths after `version`, or so much
-// happened since that it cannot be told.
-bool SettingsChangeRun::CollidesSince(uint64_t version) const {
+bool SettingsChangeRun::ConflictsSince(uint64_t version) const {
   if (base_.version - version > base_.history.size()) return true;
   for (const SettingsHistoryEntry& entry : base_.history) {
     if (entry.version <= version) continue;
@@ -285,7 +295,7 @@
   return text;
 }
 
-void SettingsChangeRun::Conflict(uint64_t version, Context& context) {
+void SettingsChangeRun::AnswerConflict(uint64_t version, Context& context) {
   const Json json = {
       {"error", "conflict"},
       {"version", version},
@@ -294,18 +304,18 @@
   Answer(409, json.dump(), Duration(0), context);
 }
 
-void SettingsChangeRun::GiveUp(Context& context) {
+void SettingsChangeRun::AnswerUnavailable(Context& context) {
   Json json = {{"error", "unavailable"},
-               {"accepted", move_in_doubt_ ? "unknown" : "no"}};
-  if (move_in_doubt_) {
+               {"accepted", move_outcome_unknown_ ? "unknown" : "no"}};
+  if (move_outcome_unknown_) {
     json["change_id"] = change_id_;
     json["message"] =
-        "the platform did not tell whether the change was accepted; look for "
-        "the change id in the history before sending it again";
+        "the platform did not confirm whether the change was accepted; look "
+        "for the change id in the history before sending it again";
   } else {
     json["message"] = "the platform cannot be reached; nothing was changed";
   }
-  Answer(503, json.dump(), kComeBackAfter, context);
+  Answer(503, json.dump(), kRetryAfter, context);
 }
 
 void SettingsChangeRun::Answer(int status, const std::string& json,
--- a/src/libnode/settings/settings_change.h
+++ b/src/libnode/settings/settings_change.h
@@ -1,15 +1,16 @@
 #ifndef AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_CHANGE_H_
 #define AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_CHANGE_H_
 
-// One operator's change on its way through the platform.
+// Writes one operator's change to the platform.
 //
 //   read head -> (get base snapshot) -> validate -> put snapshot
 //     -> move head -> accepted
 //
-// A lost answer to the move is settled by reading the change id. "Not found"
-// alone does not settle it, since the write may still be under way: the same
-// move is sent again, and only after its condition failed is "not found" final,
-// because the head then stands past the expected version for good.
+// If the reply to the move is lost, the outcome is determined by reading the
+// change id. "Not found" alone is not conclusive, since the write may still be
+// in flight: the same move is sent again, and "not found" is final only after
+// the move's condition failed, because the head is then permanently past the
+// expected version.
 
 #include <functional>
 #include <optional>
@@ -53,40 +54,46 @@
     kFinished,
   };
 
-  // Sends the request of `step`.
-  void Take(Step step, Context& context);
-  PlatformRequest RequestOf(Step step) const;
+  // Enters `step` and sends its request.
+  void StartStep(Step step, Context& context);
+  PlatformRequest RequestFor(Step step) const;
   void RetryLater(Step step, Context& context);
   void OnReply(Step step, const PlatformReply& reply, Context& context);
-  void OnHead(const PlatformReply& reply, Context& context);
-  void OnBase(const PlatformReply& reply, Context& context);
-  void OnPut(const PlatformReply& reply, Context& context);
-  void OnMoved(const PlatformReply& reply, Context& context);
-  void OnChangeRead(const PlatformReply& reply, Context& context);
-  void Build(Context& context);
-  bool CollidesSince(uint64_t version) const;
+  void OnHeadReply(const PlatformReply& reply, Context& context);
+  void OnBaseReply(const PlatformReply& reply, Context& context);
+  void OnPutReply(const PlatformReply& reply, Context& context);
+  void OnMoveReply(const PlatformReply& reply, Context& context);
+  void OnChangeReply(const PlatformReply& reply, Context& context);
+  // Validates the changed settings and puts their snapshot.
+  void BuildSnapshot(Context& context);
+  // True if another change after `version` set one of the same paths, or if the
+  // history does not reach back to `version`.
+  bool ConflictsSince(uint64_t version) const;
   std::string NewChangeId(Context& context) const;
-  void Accepted(Context& context);
-  void LostRace(Context& context);
-  void Conflict(uint64_t version, Context& context);
-  void GiveUp(Context& context);
+  void AnswerAccepted(Context& context);
+  void RebaseAfterLostRace(Context& context);
+  void AnswerConflict(uint64_t version, Context& context);
+  void AnswerUnavailable(Context& context);
   void Answer(int status, const std::string& json, Duration retry_after,
               Context& context);
 
   SettingsChangeRequest request_;
   SettingsDocument base_;
-  std::optional<uint64_t> first_base_;  // version that the first try built on
+  // Version that the first snapshot was built on.
+  std::optional<uint64_t> first_base_version_;
   SettingsHead head_;
-  SettingsDocument next_;
+  SettingsDocument next_document_;
   std::string next_text_;
-  std::string object_;
+  std::string next_object_;
   std::string change_id_;
   Step step_ = Step::kReadHead;
   Step retry_step_ = Step::kReadHead;
   PlatformOpId op_ = 0;
-  bool move_in_doubt_ = false;     // a move was sent and its end is not known
-  bool in_doubt_before_ = false;   // the same, before the move now under way
-  bool condition_failed_ = false;  // the head stands past the expected version
+  // A move was sent and it is not known whether it took effect.
+  bool move_outcome_unknown_ = false;
+  // The same for the moves sent before the one in flight.
+  bool earlier_move_outcome_unknown_ = false;
+  bool condition_failed_ = false;  // the head is past the expected version
   int rebases_ = 0;
   TimePoint deadline_ = kNever;
   TimePoint step_deadline_ = kNever;
--- a/src/libnode/settings/settings_document.cc
+++ b/src/libnode/settings/settings_document.cc
@@ -39,18 +39,19 @@
   return json;
 }
 
-// Operators' text may hold bytes that are not UTF-8; they must not throw here.
+// Replaces bytes that are not UTF-8, which operators' texts may contain;
+// without this dump() would throw.
 std::string Dump(const Json& json) {
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string TextOf(const Json& json, const char* name) {
+std::string StringField(const Json& json, const char* name) {
   const auto found = json.find(name);
   if (found == json.end() || !found->is_string()) return "";
   return found->get<std::string>();
 }
 
-Outcome<SettingsHistoryEntry> ParseEntry(const Json& json) {
+Outcome<SettingsHistoryEntry> ParseHistoryEntry(const Json& json) {
   Outcome<std::vector<SettingsChange>> changes =
       ParseSettingsChanges(json.dump());
   if (!changes) return changes.error();
@@ -59,8 +60,8 @@
   }
   SettingsHistoryEntry entry;
   entry.version = json["version"].get<uint64_t>();
-  entry.author = TextOf(json, "author");
-  entry.change_id = TextOf(json, "change_id");
+  entry.author = StringField(json, "author");
+  entry.change_id = StringField(json, "change_id");
   entry.changes = std::move(changes.value());
   return entry;
 }
@@ -135,18 +136,18 @@
 Outcome<SettingsDocument> ParseDocument(std::string_view text) {
   if (text.empty()) return SettingsDocument();
   const Json json = ParseShallowJson<Json>(text);
-  const bool whole = json.is_object() && json.contains("version") &&
+  const bool valid = json.is_object() && json.contains("version") &&
                      json["version"].is_number_unsigned() &&
                      json.contains("settings") && json.contains("history") &&
                      json["history"].is_array();
-  if (!whole) return Error{ErrorCode::kInvalid, "not a settings snapshot"};
+  if (!valid) return Error{ErrorCode::kInvalid, "not a settings snapshot"};
   Outcome<SettingsTree> tree = ParseSettings(json["settings"].dump());
   if (!tree) return tree.error();
   SettingsDocument document;
   document.version = json["version"].get<uint64_t>();
   document.tree = std::move(tree.value());
   for (const Json& item : json["history"]) {
-    Outcome<SettingsHistoryEntry> entry = ParseEntry(item);
+    Outcome<SettingsHistoryEntry> entry = ParseHistoryEntry(item);
     if (!entry) return entry.error();
     document.history.push_back(std::move(entry.value()));
   }
--- a/src/libnode/settings/settings_document.h
+++ b/src/libnode/settings/settings_document.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_DOCUMENT_H_
 #define AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_DOCUMENT_H_
 
-// A settings snapshot as it is stored and passed between peers: the tree and
-// the last changes that led to it.
+// A settings snapshot as it is stored on the platform and sent between peers:
+// the settings tree and the most recent changes to it.
 
 #include <cstdint>
 #include <string>
@@ -15,7 +15,8 @@
 
 namespace amaranth::pvt {
 
-// Changes kept in a snapshot; also how far back a change can be rebased.
+// Number of changes kept in a snapshot; also the number of versions over which
+// a change can be rebased.
 inline constexpr size_t kSettingsHistoryLength = 50;
 
 struct SettingsHistoryEntry {
@@ -43,29 +44,30 @@
   }
 };
 
-// What the platform's head row says.
+// Content of the platform's head row: the newest version and the name of its
+// snapshot object.
 struct SettingsHead {
   uint64_t version = 0;
   std::string object;
 };
 
-// The document that `changes` make of `base`, one version higher.
+// Returns `base` with `changes` applied, one version higher.
 SettingsDocument NextDocument(const SettingsDocument& base,
                               const std::vector<SettingsChange>& changes,
                               const std::string& author,
                               const std::string& change_id);
 
-// Canonical JSON; the empty text stands for version 0.
+// Returns canonical JSON; an empty string represents version 0.
 std::string ToText(const SettingsDocument& document);
 Outcome<SettingsDocument> ParseDocument(std::string_view text);
 
-// Name of the snapshot object; holds the hash of its text.
+// Returns the name of the snapshot object, which contains the hash of `text`.
 std::string ObjectName(uint64_t version, const std::string& change_id,
                        std::string_view text);
-// True if `text` is what ObjectName was given.
+// Returns true if the hash in `object` is that of `text`.
 bool ObjectNameMatches(const std::string& object, std::string_view text);
 
-// The history as JSON for operators.
+// Returns the history as JSON for operators.
 std::string HistoryText(const std::vector<SettingsHistoryEntry>& history);
 
 }  // namespace amaranth::pvt
--- a/src/libnode/settings/settings_store.cc
+++ b/src/libnode/settings/settings_store.cc
@@ -12,53 +12,58 @@
 
 constexpr char kPart[] = "settings";
 constexpr char kDelegateKey[] = "settings-delegates";
-constexpr size_t kDelegates = 2;
-
-// Nodes of a data centre that watch the platform; the others learn from them.
-// Each change wakes every watch: with all nodes watching, the calls would grow
-// with the fleet. So many, as a data centre that loses all of them at once
-// hears of a change by kConfirmedLife later.
-constexpr size_t kWatchers = 5;
-// A node that has not heard for this long that the platform holds nothing newer
-// asks by itself. Gossip reaches forty nodes in less.
-constexpr Duration kConfirmedLife = std::chrono::seconds(2);
-
-// One second for the poll leaves four of the five in which a version must be
-// in force everywhere for gossip and the snapshot.
+constexpr size_t kDelegateCount = 2;
+
+// Number of nodes of a data centre that watch the platform; the others learn
+// from them. Each change completes every watch, so if all nodes watched, the
+// number of platform calls would grow with the fleet. There are several, since
+// a data centre that loses all of them at once learns of a change up to
+// kConfirmationLifetime later.
+constexpr size_t kWatcherCount = 5;
+// A node that has received no confirmation for this long that the platform
+// holds nothing newer starts a watch of its own. Gossip reaches forty nodes in
+// less time.
+constexpr Duration kConfirmationLifetime = std::chrono::seconds(2);
+
+// A version must be in force on every node within 5 s. Polling every second
+// leaves 4 s for gossip and the transfer of the snapshot.
 constexpr Duration kPollInterval = std::chrono::seconds(1);
-// A node that cannot start yet asks less and less often: with every node of a
-// large fleet waiting, polls each second would use up the platform's reads.
+// Limits the exponential backoff of nodes that poll only because they are not
+// ready yet. If every node of a large fleet waited and polled each second, the
+// polls would exhaust the platform's read capacity.
 constexpr Duration kMaxPollInterval = std::chrono::seconds(8);
 constexpr Duration kOperationTimeout = std::chrono::seconds(3);
 
-// A watch that failed is begun anew after this, twice as long after each
-// further failure: a changed document must be in force within two seconds, but
-// refused calls of a whole fleet must not take the platform's rates when it
-// comes back.
-constexpr Duration kWatchRetry = std::chrono::milliseconds(200);
-constexpr Duration kMaxWatchRetry = std::chrono::milliseconds(1600);
-// A watch that ends sooner than this without news did not wait; asking again
-// at once would be a busy loop over the network.
-constexpr Duration kShortestWatch = std::chrono::milliseconds(100);
-// The platform holds a watch for ten seconds at most.
+// Delay before a failed watch is restarted, doubled after each further failure
+// up to kMaxWatchRetryDelay. A changed document must be in force within two
+// seconds, but the retries of a whole fleet must not use up the platform's rate
+// limits when it recovers.
+constexpr Duration kWatchRetryDelay = std::chrono::milliseconds(200);
+constexpr Duration kMaxWatchRetryDelay = std::chrono::milliseconds(1600);
+// A watch that ends sooner than this without a change did not wait; restarting
+// it at once would be a busy loop over the network.
+constexpr Duration kMinWatchDuration = std::chrono::milliseconds(100);
+// The platform holds a watch for at most ten seconds.
 constexpr Duration kWatchTimeout = std::chrono::seconds(13);
 
-constexpr Duration kAskInterval = std::chrono::milliseconds(300);
-constexpr size_t kPeersAsked = 3;
+constexpr Duration kRequestInterval = std::chrono::milliseconds(300);
+constexpr size_t kPeersPerRequest = 3;
 constexpr size_t kMaxPeers = 16;
-// A start without the platform waits this long after the first peer's answer
-// for better ones, and this long for a higher version that a peer claims.
-constexpr Duration kPeersSettle = std::chrono::milliseconds(500);
-constexpr Duration kHigherVersionWait = std::chrono::seconds(3);
+// At a start without the platform: the time, from the first peer's snapshot, to
+// wait for snapshots of other peers, and the longest time to wait for the
+// snapshot of a newer version that a peer reports.
+constexpr Duration kPeerWait = std::chrono::milliseconds(500);
+constexpr Duration kNewerVersionWait = std::chrono::seconds(3);
 
-constexpr size_t kMaxWaitingChanges = 16;
+constexpr size_t kMaxQueuedChanges = 16;
 
 bool Failed(const PlatformReply& reply) {
   return reply.status == PlatformStatus::kUnreachable ||
          reply.status == PlatformStatus::kUnknown;
 }
 
-// Between 0.9 and 1.1 of `interval`, so that nodes do not poll in step.
+// Returns a random duration between 0.9 and 1.1 of `interval`, so that nodes do
+// not poll in lockstep.
 Duration Jittered(Duration interval, Context& context) {
   const int64_t tenth = interval.count() / 10;
   std::uniform_int_distribution<int64_t> spread(-tenth, tenth);
@@ -84,62 +89,62 @@
 void SettingsStore::Start(Context& context) {
   if (!identity_.use_platform) {
     // Without a platform no change can ever have been accepted.
-    BecomeReady(context, "no platform is used");
+    BecomeReady(context, "no platform is configured");
     return;
   }
-  if (watches()) {
-    poll_interval_ = kWatchRetry;
-    Watch(context);
+  if (uses_watch()) {
+    poll_interval_ = kWatchRetryDelay;
+    StartWatch(context);
     return;
   }
   PollHead(context);
 }
 
 void SettingsStore::OnTimer(Context& context) {
-  if (context.now >= op_deadline_) OnPlatformSilent(context);
+  if (context.now >= op_deadline_) OnPlatformFailure(context);
   if (context.now >= next_poll_) {
-    if (watches()) {
-      ConsiderWatch(context);
+    if (uses_watch()) {
+      WatchUnlessConfirmed(context);
     } else {
       PollHead(context);
     }
   }
-  if (context.now >= next_ask_) AskPeers(context);
-  if (!ready_) ConsiderReady(context);
-  if (change_) {
-    change_->OnTimer(context);
-    ContinueChanges(context);
+  if (context.now >= next_request_) RequestSnapshots(context);
+  if (!ready_) UpdateReadiness(context);
+  if (running_change_) {
+    running_change_->OnTimer(context);
+    AdvanceChanges(context);
   }
 }
 
 TimePoint SettingsStore::next_timer() const {
-  TimePoint next = std::min({next_poll_, next_ask_, op_deadline_});
-  if (!ready_) next = std::min({next, peers_settled_at_, give_up_higher_at_});
-  if (change_) next = std::min(next, change_->next_timer());
+  TimePoint next = std::min({next_poll_, next_request_, op_deadline_});
+  if (!ready_) next = std::min({next, peer_wait_end_, newer_version_wait_end_});
+  if (running_change_) next = std::min(next, running_change_->next_timer());
   return next;
 }
 
 bool SettingsStore::OnPlatformReplied(const PlatformReplied& replied,
                                       Context& context) {
-  if (change_ && change_->OnPlatformReplied(replied, context)) {
-    ContinueChanges(context);
+  if (running_change_ && running_change_->OnPlatformReplied(replied, context)) {
+    AdvanceChanges(context);
     return true;
   }
   if (!op_ || *op_ != replied.op) return false;
   op_.reset();
   op_deadline_ = kNever;
-  if (watches()) {
-    OnWatched(replied.reply, context);
+  if (uses_watch()) {
+    OnWatchReply(replied.reply, context);
   } else if (op_reads_object_) {
-    OnObject(replied.reply, context);
+    OnObjectReply(replied.reply, context);
   } else {
-    OnHead(replied.reply, context);
+    OnHeadReply(replied.reply, context);
   }
-  if (!ready_) ConsiderReady(context);
+  if (!ready_) UpdateReadiness(context);
   return true;
 }
 
-bool SettingsStore::IsAmongFirst(size_t count) const {
+bool SettingsStore::IsRankedWithin(size_t count) const {
   if (!alive_in_data_centre) return true;
   const std::vector<std::string> chosen =
       RendezvousChoose(alive_in_data_centre(), kDelegateKey, count);
@@ -147,30 +152,34 @@
          chosen.end();
 }
 
-bool SettingsStore::IsDelegate() const { return IsAmongFirst(kDelegates); }
+bool SettingsStore::IsDelegate() const {
+  return IsRankedWithin(kDelegateCount);
+}
 
 void SettingsStore::OnConfirmed(uint64_t version, Duration ago, TimePoint now) {
   if (version > document_.version) return;
-  if (!confirmed_ || *confirmed_ < now - ago) confirmed_ = now - ago;
+  if (!confirmed_at_ || *confirmed_at_ < now - ago) confirmed_at_ = now - ago;
 }
 
 std::optional<Duration> SettingsStore::ConfirmedAgo(TimePoint now) const {
-  const bool watching = watches() && op_ && head_known_ && !platform_lost_;
+  const bool watching =
+      uses_watch() && op_ && head_known_ && !platform_failing_;
   if (watching) return Duration(0);
-  if (!confirmed_) return std::nullopt;
-  return now - *confirmed_;
+  if (!confirmed_at_) return std::nullopt;
+  return now - *confirmed_at_;
 }
 
-bool SettingsStore::HearsOfWatchers(TimePoint now) const {
-  return ready_ && confirmed_ && now - *confirmed_ < kConfirmedLife;
+bool SettingsStore::RecentlyConfirmed(TimePoint now) const {
+  return ready_ && confirmed_at_ &&
+         now - *confirmed_at_ < kConfirmationLifetime;
 }
 
-void SettingsStore::ConsiderWatch(Context& context) {
-  if (HearsOfWatchers(context.now) && !IsAmongFirst(kWatchers)) {
-    next_poll_ = *confirmed_ + kConfirmedLife;
+void SettingsStore::WatchUnlessConfirmed(Context& context) {
+  if (RecentlyConfirmed(context.now) && !IsRankedWithin(kWatcherCount)) {
+    next_poll_ = *confirmed_at_ + kConfirmationLifetime;
     return;
   }
-  Watch(context);
+  StartWatch(context);
 }
 
 void SettingsStore::PollHead(Context& context) {
@@ -183,12 +192,12 @@
   context.Emit(SendPlatform{*op_, TableReadHead{}});
 }
 
-void SettingsStore::OnHead(const PlatformReply& reply, Context& context) {
+void SettingsStore::OnHeadReply(const PlatformReply& reply, Context& context) {
   if (Failed(reply)) {
-    OnPlatformSilent(context);
+    OnPlatformFailure(context);
     return;
   }
-  NotePlatformAnswers(context);
+  NotePlatformSuccess(context);
   poll_interval_ = kPollInterval;
   head_known_ = true;
   if (reply.version >= head_.version) head_ = {reply.version, reply.bytes};
@@ -199,80 +208,81 @@
   context.Emit(SendPlatform{*op_, ObjectGet{head_.object}});
 }
 
-void SettingsStore::OnObject(const PlatformReply& reply, Context& context) {
+void SettingsStore::OnObjectReply(const PlatformReply& reply,
+                                  Context& context) {
   if (reply.status != PlatformStatus::kOk ||
       !ObjectNameMatches(head_.object, reply.bytes)) {
-    return;  // The next poll tries again; a peer may be sooner.
+    return;  // The next poll reads it again; a peer may send it sooner.
   }
   Outcome<SettingsDocument> document = ParseDocument(reply.bytes);
   if (!document || document.value().version != head_.version) {
     context.Log(LogLevel::kError, kPart,
-                "snapshot " + head_.object + " cannot be read");
+                "settings snapshot " + head_.object + " cannot be parsed");
     return;
   }
   Adopt(std::move(document.value()), reply.bytes, context);
 }
 
-void SettingsStore::Watch(Context& context) {
+void SettingsStore::StartWatch(Context& context) {
   next_poll_ = kNever;
   if (op_) return;
   op_ = context.NextId();
   op_deadline_ = context.now + kWatchTimeout;
-  watch_began_ = context.now;
-  context.Emit(SendPlatform{*op_, TableWatchSettings{watched_}});
+  watch_started_at_ = context.now;
+  context.Emit(SendPlatform{*op_, TableWatchSettings{watch_position_}});
 }
 
-void SettingsStore::OnWatched(const PlatformReply& reply, Context& context) {
+void SettingsStore::OnWatchReply(const PlatformReply& reply, Context& context) {
   if (Failed(reply)) {
-    OnPlatformSilent(context);
+    OnPlatformFailure(context);
     return;
   }
-  NotePlatformAnswers(context);
-  poll_interval_ = kWatchRetry;
-  watched_ = reply.version;
+  NotePlatformSuccess(context);
+  poll_interval_ = kWatchRetryDelay;
+  watch_position_ = reply.version;
   if (!reply.bytes.empty()) {
     Outcome<SettingsDocument> document = ParseDocument(reply.bytes);
     if (document) {
       Adopt(std::move(document.value()), reply.bytes, context);
     } else {
       context.Log(LogLevel::kError, kPart,
-                  "settings document cannot be read, version " +
+                  "settings document cannot be parsed, version " +
                       std::to_string(document_.version) +
                       " stays in force: " + document.error().message);
     }
   }
-  // An empty table is no reason to serve: the operators' first document is
-  // under way.
+  // An empty table does not make the node ready, since the operators' first
+  // document is still to be written.
   head_known_ = document_.version > 0;
-  const bool waited = context.now - watch_began_ >= kShortestWatch;
+  const bool waited = context.now - watch_started_at_ >= kMinWatchDuration;
   if (waited || !reply.bytes.empty()) {
-    ConsiderWatch(context);
+    WatchUnlessConfirmed(context);
   } else {
     next_poll_ = context.now + Jittered(poll_interval_, context);
   }
 }
 
-void SettingsStore::NotePlatformAnswers(Context& context) {
-  if (!platform_lost_) return;
-  platform_lost_ = false;
-  context.Log(LogLevel::kInfo, kPart, "the platform answers again");
+void SettingsStore::NotePlatformSuccess(Context& context) {
+  if (!platform_failing_) return;
+  platform_failing_ = false;
+  context.Log(LogLevel::kInfo, kPart, "the platform is reachable again");
 }
 
-void SettingsStore::OnPlatformSilent(Context& context) {
+void SettingsStore::OnPlatformFailure(Context& context) {
   op_.reset();
   op_deadline_ = kNever;
-  if (!platform_lost_) {
-    platform_lost_ = true;
+  if (!platform_failing_) {
+    platform_failing_ = true;
     context.Log(LogLevel::kWarning, kPart,
-                "the platform does not answer; version " +
+                "the platform is unreachable or failing; version " +
                     std::to_string(document_.version) + " stays in force");
   }
-  if (watches()) {
-    // The next call is answered at once: a watch would not tell for seconds
-    // that the platform is back.
-    watched_ = 0;
+  if (uses_watch()) {
+    // A read from position 0 is answered at once, whereas a watch would take
+    // seconds to show that the platform has recovered.
+    watch_position_ = 0;
     next_poll_ = context.now + Jittered(poll_interval_, context);
-    poll_interval_ = std::min(poll_interval_ * 2, kMaxWatchRetry);
+    poll_interval_ = std::min(poll_interval_ * 2, kMaxWatchRetryDelay);
     return;
   }
   poll_interval_ = IsDelegate()
@@ -285,10 +295,12 @@
                                       const Endpoint& address,
                                       const SettingsRequest& request,
                                       Context& context) {
-  // A node that is not ready does not know that there are no settings.
+  // Version 0 is sent only when ready: a node that is not ready does not know
+  // whether settings exist.
   const bool newer = document_.version > request.have_version;
-  const bool none_at_all = ready_ && document_.version == 0 && !watches();
-  if (!newer && !none_at_all) return;
+  const bool no_settings_exist =
+      ready_ && document_.version == 0 && !uses_watch();
+  if (!newer && !no_settings_exist) return;
   context.Emit(
       SendPeer{from.name, address,
                SettingsSnapshot{document_.version, Hash64(text_), text_}});
@@ -299,9 +311,9 @@
   if (Hash64(snapshot.text) != snapshot.text_hash) return;
   Outcome<SettingsDocument> document = ParseDocument(snapshot.text);
   if (!document || document.value().version != snapshot.version) return;
-  if (!ready_ && peers_settled_at_ == kNever) {
-    peers_settled_at_ = context.now + kPeersSettle;
-    give_up_higher_at_ = context.now + kHigherVersionWait;
+  if (!ready_ && peer_wait_end_ == kNever) {
+    peer_wait_end_ = context.now + kPeerWait;
+    newer_version_wait_end_ = context.now + kNewerVersionWait;
   }
   if (snapshot.version > document_.version) {
     Adopt(std::move(document.value()), snapshot.text, context);
@@ -312,43 +324,45 @@
                                   const Endpoint& address, uint64_t version,
                                   Context& context) {
   if (ready_ && version <= document_.version) return;
-  if (watches() && version <= document_.version) return;
+  if (uses_watch() && version <= document_.version) return;
   if (peers_.size() >= kMaxPeers && peers_.count(peer) == 0) return;
   PeerVersion& entry = peers_[peer];
   entry.address = address;
   if (version > entry.version) {
     entry.version = version;
-    entry.asked = false;
+    entry.requested = false;
   }
-  if (next_ask_ == kNever) AskPeers(context);
+  if (next_request_ == kNever) RequestSnapshots(context);
 }
 
-// Those who hold the highest version first, each once until all were asked.
-void SettingsStore::AskPeers(Context& context) {
+// Requests the snapshot from the peers with the highest versions first, and
+// from each peer once until all have been requested.
+void SettingsStore::RequestSnapshots(Context& context) {
   if (peers_.empty()) {
-    next_ask_ = kNever;
+    next_request_ = kNever;
     return;
   }
-  next_ask_ = context.now + kAskInterval;
-  std::vector<std::pair<uint64_t, std::string>> unasked;
+  next_request_ = context.now + kRequestInterval;
+  std::vector<std::pair<uint64_t, std::string>> candidates;
   for (const auto& [name, peer] : peers_) {
-    if (!peer.asked) unasked.emplace_back(peer.version, name);
+    if (!peer.requested) candidates.emplace_back(peer.version, name);
   }
-  if (unasked.empty()) {
-    for (auto& [name, peer] : peers_) peer.asked = false;
+  if (candidates.empty()) {
+    for (auto& [name, peer] : peers_) peer.requested = false;
     return;
   }
-  std::sort(unasked.rbegin(), unasked.rend());
-  const size_t count = std::min(unasked.size(), ready_ ? 1 : kPeersAsked);
+  std::sort(candidates.rbegin(), candidates.rend());
+  const size_t count =
+      std::min(candidates.size(), ready_ ? 1 : kPeersPerRequest);
   for (size_t i = 0; i < count; ++i) {
-    PeerVersion& peer = peers_[unasked[i].second];
-    peer.asked = true;
-    context.Emit(SendPeer{unasked[i].second, peer.address,
+    PeerVersion& peer = peers_[candidates[i].second];
+    peer.requested = true;
+    context.Emit(SendPeer{candidates[i].second, peer.address,
                           SettingsRequest{document_.version}});
   }
 }
 
-uint64_t SettingsStore::HighestSeen() const {
+uint64_t SettingsStore::HighestVersionSeen() const {
   uint64_t highest = document_.version;
   for (const auto& [name, peer] : peers_) {
     highest = std::max(highest, peer.version);
@@ -368,31 +382,31 @@
   context.Log(LogLevel::kInfo, kPart,
               "version " + std::to_string(document_.version) + " in force");
   if (on_adopted) on_adopted(document_.version, context);
-  if (!ready_) ConsiderReady(context);
+  if (!ready_) UpdateReadiness(context);
 }
 
-void SettingsStore::ConsiderReady(Context& context) {
+void SettingsStore::UpdateReadiness(Context& context) {
   if (ready_) return;
   if (head_known_) {
-    // The platform named the head: nothing lower will do.
+    // The head is known, so a lower version is not sufficient.
     if (document_.version >= head_.version) {
-      BecomeReady(context, "the platform told the head");
+      BecomeReady(context, "read from the platform");
     }
     return;
   }
-  if (context.now < peers_settled_at_) return;
-  if (watches() && document_.version == 0) return;
-  const bool highest = document_.version >= HighestSeen();
-  if (!highest && context.now < give_up_higher_at_) return;
-  BecomeReady(context, "peers told what they hold");
+  if (context.now < peer_wait_end_) return;
+  if (uses_watch() && document_.version == 0) return;
+  const bool highest = document_.version >= HighestVersionSeen();
+  if (!highest && context.now < newer_version_wait_end_) return;
+  BecomeReady(context, "received from peers");
 }
 
 void SettingsStore::BecomeReady(Context& context, const char* source) {
   ready_ = true;
-  peers_settled_at_ = kNever;
-  give_up_higher_at_ = kNever;
+  peer_wait_end_ = kNever;
+  newer_version_wait_end_ = kNever;
   context.Log(LogLevel::kInfo, kPart,
-              "ready with version " + std::to_string(document_.version) + ": " +
+              "ready with version " + std::to_string(document_.version) + ", " +
                   source);
   for (auto peer = peers_.begin(); peer != peers_.end();) {
     const bool ahead = peer->second.version > document_.version;
@@ -407,33 +421,35 @@
     AnswerUnavailable(call, "this node runs without a platform", context);
     return;
   }
-  if (waiting_changes_.size() >= kMaxWaitingChanges) {
-    AnswerUnavailable(call, "too many changes are waiting", context);
+  if (queued_changes_.size() >= kMaxQueuedChanges) {
+    AnswerUnavailable(call, "too many settings changes are queued", context);
     return;
   }
-  waiting_changes_.push_back(
+  queued_changes_.push_back(
       {call, std::move(changes), expected_version, std::move(author)});
-  if (!change_) StartNextChange(context);
+  if (!running_change_) StartNextChange(context);
 }
 
-// One at a time: changes from one node would only race each other.
+// Runs changes one at a time, since concurrent changes from one node would only
+// race each other.
 void SettingsStore::StartNextChange(Context& context) {
-  while (!change_ && !waiting_changes_.empty()) {
-    change_ = std::make_unique<SettingsChangeRun>(
-        std::move(waiting_changes_.front()), document_);
-    waiting_changes_.pop_front();
-    change_->on_accepted = [this](SettingsDocument document, std::string text,
-                                  Context& accepted_context) {
+  while (!running_change_ && !queued_changes_.empty()) {
+    running_change_ = std::make_unique<SettingsChangeRun>(
+        std::move(queued_changes_.front()), document_);
+    queued_changes_.pop_front();
+    running_change_->on_accepted = [this](SettingsDocument document,
+                                          std::string text,
+                                          Context& accepted_context) {
       Adopt(std::move(document), std::move(text), accepted_context);
     };
-    change_->Start(context);
-    if (change_->finished()) change_.reset();
+    running_change_->Start(context);
+    if (running_change_->finished()) running_change_.reset();
   }
 }
 
-void SettingsStore::ContinueChanges(Context& context) {
-  if (!change_->finished()) return;
-  change_.reset();
+void SettingsStore::AdvanceChanges(Context& context) {
+  if (!running_change_->finished()) return;
+  running_change_.reset();
   StartNextChange(context);
 }
 
--- a/src/libnode/settings/settings_store.h
+++ b/src/libnode/settings/settings_store.h
@@ -1,11 +1,11 @@
 #ifndef AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_STORE_H_
 #define AMARANTHROUTE_LIBNODE_SETTINGS_SETTINGS_STORE_H_
 
-// The settings in force at this node: how they are changed through the
-// platform, found again after a start, and passed on between peers.
+// Holds the settings in force at this node, changes them through the platform,
+// restores them after a start and exchanges them with peers.
 //
-// Only a version that the platform's head has named is ever held, so a node
-// may hand what it holds to any peer. The version only rises.
+// A node holds only versions that the platform has accepted, so it may send
+// its snapshot to any peer. The version never decreases.
 
 #include <deque>
 #include <functional>
@@ -28,34 +28,38 @@
   SettingsStore(const SettingsStore&) = delete;
   SettingsStore& operator=(const SettingsStore&) = delete;
 
-  // Nodes of this data centre that are up, this one included: the delegates
-  // that poll the platform's head are chosen from them by hash.
+  // Returns the live nodes of this data centre, including this one. The
+  // delegates that poll the platform's head, and the watchers, are chosen from
+  // them by hash.
   std::function<std::vector<std::string>()> alive_in_data_centre;
-  // Called after a new version came into force.
+  // Called after a new version has come into force.
   std::function<void(uint64_t version, Context&)> on_adopted;
 
   void Start(Context& context);
   void OnTimer(Context& context);
   TimePoint next_timer() const;
-  // True if the reply was to an operation of this store.
+  // Returns true if the reply belongs to an operation of this store.
   bool OnPlatformReplied(const PlatformReplied& replied, Context& context);
 
-  // A peer wants the snapshot.
+  // Handles a peer's request for the snapshot.
   void OnSettingsRequest(const NodeRef& from, const Endpoint& address,
                          const SettingsRequest& request, Context& context);
   void OnSnapshot(const SettingsSnapshot& snapshot, Context& context);
-  // A peer was heard to hold `version`. While this node is not ready, version
-  // 0 counts too: the peer may know that there are no settings yet.
+  // Records that a peer holds `version`. While this node is not ready, version
+  // 0 counts too, since the peer may know that there are no settings yet; a
+  // node that watches the platform ignores it.
   void OnVersionSeen(const std::string& peer, const Endpoint& address,
                      uint64_t version, Context& context);
 
-  // Where the platform is watched: a peer tells how long ago the platform was
-  // known to hold nothing newer than `version`.
+  // Used where nodes watch the platform: records a peer's report that `ago`
+  // before now the platform was known to hold nothing newer than `version`.
   void OnConfirmed(uint64_t version, Duration ago, TimePoint now);
-  // The same of this node; nothing if it does not know.
+  // Returns how long ago this node knew that the platform held nothing newer
+  // than version(); empty if it never did.
   std::optional<Duration> ConfirmedAgo(TimePoint now) const;
 
-  // An operator's change. Answered later, once, by AnswerCaller with JSON.
+  // Queues an operator's change. It is answered exactly once, possibly later,
+  // by AnswerCaller with a JSON body.
   void Change(CallId call, std::vector<SettingsChange> changes,
               std::optional<uint64_t> expected_version, std::string author,
               Context& context);
@@ -73,35 +77,38 @@
   struct PeerVersion {
     Endpoint address;
     uint64_t version = 0;
-    bool asked = false;
+    bool requested = false;
   };
 
-  bool IsAmongFirst(size_t count) const;
+  // True if this node is among the `count` nodes of its data centre that rank
+  // first by rendezvous hashing.
+  bool IsRankedWithin(size_t count) const;
   bool IsDelegate() const;
   void PollHead(Context& context);
-  void Watch(Context& context);
-  // Watches, or leaves that to the watchers while they are heard of.
-  void ConsiderWatch(Context& context);
-  bool HearsOfWatchers(TimePoint now) const;
-  void OnWatched(const PlatformReply& reply, Context& context);
-  bool watches() const {
+  void StartWatch(Context& context);
+  // Starts a watch, unless this node is not a watcher and a recent confirmation
+  // shows that the watchers are working.
+  void WatchUnlessConfirmed(Context& context);
+  bool RecentlyConfirmed(TimePoint now) const;
+  void OnWatchReply(const PlatformReply& reply, Context& context);
+  bool uses_watch() const {
     return identity_.rules.settings_source == SettingsSource::kWatch;
   }
-  void OnHead(const PlatformReply& reply, Context& context);
-  void OnObject(const PlatformReply& reply, Context& context);
-  void NotePlatformAnswers(Context& context);
-  void OnPlatformSilent(Context& context);
-  void AskPeers(Context& context);
-  uint64_t HighestSeen() const;
+  void OnHeadReply(const PlatformReply& reply, Context& context);
+  void OnObjectReply(const PlatformReply& reply, Context& context);
+  void NotePlatformSuccess(Context& context);
+  void OnPlatformFailure(Context& context);
+  void RequestSnapshots(Context& context);
+  uint64_t HighestVersionSeen() const;
   void Adopt(SettingsDocument document, std::string text, Context& context);
-  void ConsiderReady(Context& context);
+  void UpdateReadiness(Context& context);
   void BecomeReady(Context& context, const char* source);
   void StartNextChange(Context& context);
-  void ContinueChanges(Context& context);
+  void AdvanceChanges(Context& context);
 
   NodeIdentity identity_;
   SettingsDocument document_;
-  std::string text_;  // of document_, as handed to peers
+  std::string text_;  // document_ as sent to peers
   bool ready_ = false;
 
   TimePoint next_poll_ = kNever;
@@ -109,20 +116,27 @@
   std::optional<PlatformOpId> op_;  // reading the head or a snapshot
   bool op_reads_object_ = false;
   TimePoint op_deadline_ = kNever;
-  bool head_known_ = false;     // the platform has told the head at least once
-  bool platform_lost_ = false;  // told in the log
-  uint64_t watched_ = 0;        // where the next watch goes on
-  TimePoint watch_began_{};
-  std::optional<TimePoint> confirmed_;  // as peers told
+  // The platform has returned the head at least once. With a watch: the last
+  // successful reply left a version above 0 in force.
+  bool head_known_ = false;
+  bool platform_failing_ = false;  // the last operation failed; already logged
+  uint64_t watch_position_ = 0;  // position from which the next watch continues
+  TimePoint watch_started_at_{};
+  // Latest time of a confirmation that peers reported.
+  std::optional<TimePoint> confirmed_at_;
   SettingsHead head_;
 
-  std::map<std::string, PeerVersion> peers_;  // that hold more than this node
-  TimePoint next_ask_ = kNever;
-  TimePoint peers_settled_at_ = kNever;  // enough peers heard to start with
-  TimePoint give_up_higher_at_ = kNever;
-
-  std::deque<SettingsChangeRequest> waiting_changes_;
-  std::unique_ptr<SettingsChangeRun> change_;
+  // Peers with a newer version; while this node is not ready, and does not
+  // watch the platform, peers with any version.
+  std::map<std::string, PeerVersion> peers_;
+  TimePoint next_request_ = kNever;
+  // End of the wait for further peers' snapshots at a start without the
+  // platform.
+  TimePoint peer_wait_end_ = kNever;
+  TimePoint newer_version_wait_end_ = kNever;
+
+  std::deque<SettingsChangeRequest> queued_changes_;
+  std::unique_ptr<SettingsChangeRun> running_change_;
 };
 
 }  // namespace amaranth::pvt
