--- a/src/libnode/settings/settings_store.h
+++ b/src/libnode/settings/settings_store.h
@@ -113,7 +113,7 @@
 
   TimePoint next_poll_ = kNever;
   Duration poll_interval_{0};
-  std::optional<PlatformOpId> op_;  // reading the head or a snapshot
+  std::optional<PlatformOpId> op_;  // reads the head or a snapshot, or watches
   bool op_reads_object_ = false;
   TimePoint op_deadline_ = kNever;
   // The platform has returned the head at least once. With a watch: the last
