--- a/src/libnode/settings/settings_tree.cc
+++ b/src/libnode/settings/settings_tree.cc
@@ -18,7 +18,8 @@
 
 constexpr size_t kMaxSegmentLength = 64;
 constexpr size_t kMaxSegments = 3;
-// Bounds the work of checking each class against each service.
+// Limits the cost of validation, which resolves the settings of each class for
+// each service.
 constexpr size_t kMaxPaths = 1000;
 constexpr std::string_view kAnyService = "*";
 
@@ -44,11 +45,11 @@
          std::all_of(segment.begin(), segment.end(), IsNameCharacter);
 }
 
-// An empty text means that the path is well formed.
-std::string PathFault(const std::string& path) {
+// Returns what is wrong with `path`, or an empty string if it is well formed.
+std::string PathError(const std::string& path) {
   const std::vector<std::string> segments = SplitPath(path);
   if (segments.size() > kMaxSegments) {
-    return "has more than mesh/service/class";
+    return "has more than the three parts mesh/service/class";
   }
   for (size_t i = 0; i < segments.size(); ++i) {
     const bool wildcard =
@@ -66,7 +67,7 @@
          number <= row.maximum;
 }
 
-bool IsValueOf(const SettingDefinition& row, const std::string& value) {
+bool IsValid(const SettingDefinition& row, const std::string& value) {
   switch (row.type) {
     case SettingType::kChoice:
       return std::find(row.choices.begin(), row.choices.end(), value) !=
@@ -85,7 +86,8 @@
   return false;
 }
 
-// Numbers of equal value get equal text, so that equal trees do too.
+// Returns the same text for numbers of equal value, so that equal trees have
+// equal text.
 std::string CanonicalValue(const std::string& name, const std::string& value) {
   const SettingDefinition* row = FindSetting(name);
   if (row == nullptr) return value;
@@ -103,7 +105,7 @@
 
 Json ToJson(const std::string& name, const std::string& value) {
   const SettingDefinition* row = FindSetting(name);
-  if (row == nullptr || !IsValueOf(*row, value)) return value;
+  if (row == nullptr || !IsValid(*row, value)) return value;
   switch (row->type) {
     case SettingType::kChoice:
       return value;
@@ -117,11 +119,11 @@
   return value;
 }
 
-std::string ToValue(const Json& json) {
+std::string ValueText(const Json& json) {
   return json.is_string() ? json.get<std::string>() : json.dump();
 }
 
-std::string ValueFault(const SettingDefinition& row) {
+std::string ValueError(const SettingDefinition& row) {
   switch (row.type) {
     case SettingType::kChoice: {
       std::string text = "is not one of";
@@ -140,30 +142,31 @@
       return "is not a number from " + Json(row.minimum).dump() + " to " +
              Json(row.maximum).dump();
   }
-  return "is wrong";
+  return "is invalid";
 }
 
 void CheckValue(const std::string& path, const std::string& name,
-                const std::string& value, std::vector<std::string>& faults) {
+                const std::string& value, std::vector<std::string>& errors) {
   const std::string where = "\"" + path + "\": " + name;
   const SettingDefinition* row = FindSetting(name);
   if (row == nullptr) {
-    faults.push_back(where + " is not a setting");
+    errors.push_back(where + " is not a known setting");
     return;
   }
-  if (!IsValueOf(*row, value)) {
-    faults.push_back(where + " = \"" + value + "\" " + ValueFault(*row));
+  if (!IsValid(*row, value)) {
+    errors.push_back(where + " = \"" + value + "\" " + ValueError(*row));
   }
   if (row->scope == SettingScope::kService && SplitPath(path).size() == 3) {
-    faults.push_back(where +
+    errors.push_back(where +
                      " belongs to a whole service, not to a request class");
   }
 }
 
-// The levels that apply to a request, weakest first.
-std::vector<std::string> LevelsFor(const std::string& mesh,
-                                   const std::string& service,
-                                   const std::string& request_class) {
+// Returns the levels that apply to a request, in increasing order of
+// precedence.
+std::vector<std::string> ApplicableLevels(const std::string& mesh,
+                                          const std::string& service,
+                                          const std::string& request_class) {
   std::vector<std::string> paths = {""};
   if (mesh.empty()) return paths;
   paths.push_back(mesh);
@@ -175,54 +178,56 @@
   return paths;
 }
 
-struct Target {
+struct ResolveKey {
   std::string mesh;
   std::string service;
   std::string request_class;
 
-  friend bool operator<(const Target& a, const Target& b) {
+  friend bool operator<(const ResolveKey& a, const ResolveKey& b) {
     return std::tie(a.mesh, a.service, a.request_class) <
            std::tie(b.mesh, b.service, b.request_class);
   }
 };
 
-Target ToTarget(const std::string& path) {
+ResolveKey ToResolveKey(const std::string& path) {
   std::vector<std::string> segments = SplitPath(path);
   segments.resize(kMaxSegments);
   return {segments[0], segments[1], segments[2]};
 }
 
-// Every mesh, service and class for which the tree may resolve differently:
-// those named, and each class of all services together with each service.
-std::set<Target> TargetsOf(const SettingsTree::Levels& levels) {
-  std::set<Target> targets;
-  for (const auto& [path, values] : levels) targets.insert(ToTarget(path));
-  std::set<Target> combined;
-  for (const Target& any : targets) {
+// Returns every mesh, service and class for which the tree may resolve
+// differently: those that it names, and each class of all services (`*`)
+// combined with each service of its mesh.
+std::set<ResolveKey> AllResolveKeys(const SettingsTree::Levels& levels) {
+  std::set<ResolveKey> keys;
+  for (const auto& [path, values] : levels) keys.insert(ToResolveKey(path));
+  std::set<ResolveKey> combined;
+  for (const ResolveKey& any : keys) {
     if (any.service != kAnyService) continue;
-    for (const Target& named : targets) {
+    for (const ResolveKey& named : keys) {
       if (named.mesh != any.mesh || named.service.empty()) continue;
       combined.insert({any.mesh, named.service, any.request_class});
     }
   }
-  targets.merge(combined);
-  return targets;
+  keys.merge(combined);
+  return keys;
 }
 
-void CheckTargets(const SettingsTree& tree, std::vector<std::string>& faults) {
-  for (const Target& target : TargetsOf(tree.levels())) {
+void CheckLatencyTargets(const SettingsTree& tree,
+                         std::vector<std::string>& errors) {
+  for (const ResolveKey& key : AllResolveKeys(tree.levels())) {
     const EffectiveSettings settings =
-        tree.Resolve(target.mesh, target.service, target.request_class);
+        tree.Resolve(key.mesh, key.service, key.request_class);
     if (settings.target_p99 <= settings.deadline) continue;
-    std::string where = target.mesh;
-    if (!target.service.empty()) where += "/" + target.service;
-    if (!target.request_class.empty()) where += "/" + target.request_class;
-    faults.push_back("\"" + where +
-                     "\": target_p99_ms is above deadline_ms here");
+    std::string where = key.mesh;
+    if (!key.service.empty()) where += "/" + key.service;
+    if (!key.request_class.empty()) where += "/" + key.request_class;
+    errors.push_back("\"" + where +
+                     "\": target_p99_ms is above deadline_ms at this path");
   }
 }
 
-SettingsTree::Levels Canonical(const SettingsTree::Levels& levels) {
+SettingsTree::Levels Canonicalize(const SettingsTree::Levels& levels) {
   SettingsTree::Levels canonical;
   for (const auto& [path, values] : levels) {
     for (const auto& [name, value] : values) {
@@ -254,7 +259,7 @@
 SettingsTree::SettingsTree() : SettingsTree(Levels()) {}
 
 SettingsTree::SettingsTree(const Levels& levels)
-    : levels_(std::make_shared<const Levels>(Canonical(levels))) {}
+    : levels_(std::make_shared<const Levels>(Canonicalize(levels))) {}
 
 SettingsTree SettingsTree::Set(const std::string& path, const std::string& name,
                                const std::string& value) const {
@@ -280,35 +285,36 @@
 }
 
 std::vector<std::string> SettingsTree::Validate() const {
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
   if (levels_->size() > kMaxPaths) {
-    faults.push_back("more than " + std::to_string(kMaxPaths) + " paths");
-    return faults;
+    errors.push_back("more than " + std::to_string(kMaxPaths) + " paths");
+    return errors;
   }
   for (const auto& [path, values] : *levels_) {
-    const std::string fault = PathFault(path);
-    if (!fault.empty()) {
-      faults.push_back(std::string("path \"").append(path).append("\" ") +
-                       fault);
+    const std::string error = PathError(path);
+    if (!error.empty()) {
+      errors.push_back(std::string("path \"").append(path).append("\" ") +
+                       error);
     }
     for (const auto& [name, value] : values) {
-      CheckValue(path, name, value, faults);
+      CheckValue(path, name, value, errors);
     }
   }
-  if (faults.empty()) CheckTargets(*this, faults);
-  return faults;
+  if (errors.empty()) CheckLatencyTargets(*this, errors);
+  return errors;
 }
 
 EffectiveSettings SettingsTree::Resolve(
     const std::string& mesh, const std::string& service,
     const std::string& request_class) const {
   EffectiveSettings settings;
-  for (const std::string& path : LevelsFor(mesh, service, request_class)) {
+  for (const std::string& path :
+       ApplicableLevels(mesh, service, request_class)) {
     const auto level = levels_->find(path);
     if (level == levels_->end()) continue;
     for (const auto& [name, value] : level->second) {
       const SettingDefinition* row = FindSetting(name);
-      if (row != nullptr && IsValueOf(*row, value)) row->apply(settings, value);
+      if (row != nullptr && IsValid(*row, value)) row->apply(settings, value);
     }
   }
   return settings;
@@ -316,9 +322,9 @@
 
 std::vector<ExplainedValue> SettingsTree::Explain(
     const std::string& path) const {
-  const Target target = ToTarget(path);
+  const ResolveKey key = ToResolveKey(path);
   std::vector<std::string> levels =
-      LevelsFor(target.mesh, target.service, target.request_class);
+      ApplicableLevels(key.mesh, key.service, key.request_class);
   std::reverse(levels.begin(), levels.end());
   std::vector<ExplainedValue> explained;
   for (const SettingDefinition& row : SettingDefinitions()) {
@@ -363,7 +369,7 @@
                    "\"" + path + "\" is not a JSON object of settings"};
     }
     for (const auto& [name, value] : values.items()) {
-      levels[path][name] = ToValue(value);
+      levels[path][name] = ValueText(value);
     }
   }
   return SettingsTree(levels);
@@ -379,14 +385,14 @@
   if (!json["changes"].is_array()) return malformed;
   std::vector<SettingsChange> changes;
   for (const Json& item : json["changes"]) {
-    const bool whole = item.is_object() && item.contains("path") &&
+    const bool valid = item.is_object() && item.contains("path") &&
                        item["path"].is_string() && item.contains("name") &&
                        item["name"].is_string() && item.contains("value");
-    if (!whole) return malformed;
+    if (!valid) return malformed;
     SettingsChange change;
     change.path = item["path"].get<std::string>();
     change.name = item["name"].get<std::string>();
-    if (!item["value"].is_null()) change.value = ToValue(item["value"]);
+    if (!item["value"].is_null()) change.value = ValueText(item["value"]);
     changes.push_back(std::move(change));
   }
   return changes;
