--- a/src/libnode/fakes/settings_fleet.h
+++ b/src/libnode/fakes/settings_fleet.h
@@ -1,9 +1,10 @@
 #ifndef AMARANTHROUTE_LIBNODE_FAKES_SETTINGS_FLEET_H_
 #define AMARANTHROUTE_LIBNODE_FAKES_SETTINGS_FLEET_H_
 
-// For tests: several SettingsStore objects, the platform kept in memory and
-// the links between nodes, all in virtual time. The platform can be down, lose
-// answers after a write took effect, or hold a write back until later.
+// Test fixture: several SettingsStore objects, an in-memory platform and the
+// links between the nodes, all in virtual time. The platform can be down, lose
+// the reply after a write took effect, lose the request, or delay the request
+// until the next read of a change id.
 
 #include <algorithm>
 #include <functional>
@@ -20,7 +21,8 @@
 
 namespace amaranth::pvt {
 
-// The table and the object store, as far as settings use them.
+// In-memory implementation of the table and object store operations that
+// settings use.
 class FakePlatform {
  public:
   uint64_t version = 0;
@@ -28,7 +30,7 @@
   std::map<std::string, uint64_t> changes;
   std::map<std::string, std::string> objects;
 
-  PlatformReply Do(const PlatformRequest& request) {
+  PlatformReply Execute(const PlatformRequest& request) {
     PlatformReply reply;
     reply.status = PlatformStatus::kOk;
     if (std::holds_alternative<TableReadHead>(request)) {
@@ -72,32 +74,33 @@
 
 class SettingsFleet {
  public:
-  enum class Fault { kNone, kDown, kLoseAnswer, kLoseRequest, kHoldBack };
+  enum class Fault { kNone, kDown, kLoseReply, kLoseRequest, kDelayRequest };
 
-  struct Host {
+  struct SimulatedNode {
     NodeIdentity identity;
     std::unique_ptr<SettingsStore> store;
     Random random;
     uint64_t next_id = 1;
-    uint64_t highest = 0;
+    uint64_t max_version = 0;
   };
 
   explicit SettingsFleet(uint64_t seed) : random_(seed) {}
 
   FakePlatform platform;
-  // How the platform treats the next request.
+  // Returns the fault to apply to a platform request.
   std::function<Fault(const PlatformRequest&)> fault = [](const auto&) {
     return Fault::kNone;
   };
   bool links_up = true;
   std::map<CallId, HttpResponse> answers;
-  bool versions_rose = true;
+  bool versions_monotonic = true;
   int head_reads = 0;
-  // Where operators write a document elsewhere, which the nodes watch.
+  // Source of the settings. With kWatch the nodes watch a document that
+  // operators write elsewhere, and `document_version` is its version.
   SettingsSource source = SettingsSource::kHeadRow;
   uint64_t document_version = 0;
-  std::set<std::string> turned_away;  // by the platform
-  std::multiset<std::string> watch_calls;
+  std::set<std::string> refused;           // their watches fail as unreachable
+  std::multiset<std::string> watch_calls;  // node name of each watch started
 
   void WriteDocument(uint64_t version) {
     document_version = version;
@@ -106,64 +109,67 @@
     }
   }
 
-  void Kill(const std::string& name) { hosts_.erase(name); }
+  void Kill(const std::string& name) { nodes_.erase(name); }
 
   void Add(const std::string& name) {
-    Host& host = hosts_[name];
-    host.identity.node = {name, 0};
-    host.identity.peer_address = {"127.0.0.1", 1};
-    host.identity.rules.settings_source = source;
+    SimulatedNode& node = nodes_[name];
+    node.identity.node = {name, 0};
+    node.identity.peer_address = {"127.0.0.1", 1};
+    node.identity.rules.settings_source = source;
     Restart(name);
   }
 
   void Restart(const std::string& name) {
-    Host& host = hosts_[name];
-    ++host.identity.node.incarnation;
-    host.random.seed(random_());
-    host.highest = 0;
-    host.store = std::make_unique<SettingsStore>(host.identity);
-    host.store->alive_in_data_centre = [this] {
+    SimulatedNode& node = nodes_[name];
+    ++node.identity.node.incarnation;
+    node.random.seed(random_());
+    node.max_version = 0;
+    node.store = std::make_unique<SettingsStore>(node.identity);
+    node.store->alive_in_data_centre = [this] {
       std::vector<std::string> names;
-      for (const auto& [other, unused] : hosts_) names.push_back(other);
+      for (const auto& [other, unused] : nodes_) names.push_back(other);
       return names;
     };
-    Do(name, [](SettingsStore& s, Context& context) { s.Start(context); });
+    RunOnNode(name,
+              [](SettingsStore& s, Context& context) { s.Start(context); });
   }
 
-  SettingsStore& at(const std::string& name) { return *hosts_[name].store; }
-  std::map<std::string, Host>& hosts() { return hosts_; }
+  SettingsStore& at(const std::string& name) { return *nodes_[name].store; }
+  std::map<std::string, SimulatedNode>& nodes() { return nodes_; }
   TimePoint now() const { return now_; }
 
   CallId Change(const std::string& name, std::vector<SettingsChange> changes,
                 std::optional<uint64_t> expected = std::nullopt) {
     const CallId call = ++last_call_;
-    Do(name, [&](SettingsStore& s, Context& context) {
+    RunOnNode(name, [&](SettingsStore& s, Context& context) {
       s.Change(call, std::move(changes), expected, "operator", context);
     });
     return call;
   }
 
-  // 0 while there is no answer.
+  // Returns the HTTP status of the answer, or 0 while there is none.
   int Status(CallId call) const {
     const auto found = answers.find(call);
     return found == answers.end() ? 0 : found->second.status;
   }
 
-  std::string Text(CallId call) const {
+  std::string BodyText(CallId call) const {
     const auto found = answers.find(call);
     return found == answers.end() ? "" : std::string(found->second.body.view());
   }
 
-  void Run(Duration time) {
+  // Advances virtual time in steps of 10 ms.
+  void RunFor(Duration time) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += std::chrono::milliseconds(10);
       DeliverDue();
-      if (++rounds_ % 20 == 0) Gossip();
-      for (auto& [name, host] : hosts_) {
-        if (now_ < host.store->next_timer()) continue;
-        Do(name,
-           [](SettingsStore& s, Context& context) { s.OnTimer(context); });
+      if (++steps_ % 20 == 0) Gossip();
+      for (auto& [name, node] : nodes_) {
+        if (now_ < node.store->next_timer()) continue;
+        RunOnNode(name, [](SettingsStore& s, Context& context) {
+          s.OnTimer(context);
+        });
       }
     }
   }
@@ -172,78 +178,80 @@
     const TimePoint end = now_ + limit;
     while (!condition()) {
       if (now_ >= end) return false;
-      Run(std::chrono::milliseconds(10));
+      RunFor(std::chrono::milliseconds(10));
     }
     return true;
   }
 
-  bool AllAt(uint64_t version) {
-    return std::all_of(hosts_.begin(), hosts_.end(), [&](const auto& entry) {
+  bool AllReadyAt(uint64_t version) {
+    return std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
       return entry.second.store->version() == version &&
              entry.second.store->ready();
     });
   }
 
-  void Do(const std::string& name,
-          const std::function<void(SettingsStore&, Context&)>& action) {
-    Host& host = hosts_[name];
+  void RunOnNode(const std::string& name,
+                 const std::function<void(SettingsStore&, Context&)>& action) {
+    SimulatedNode& node = nodes_[name];
     Effects effects;
-    Context context{host.identity, now_, host.random, host.next_id, effects};
-    action(*host.store, context);
-    if (host.store->version() < host.highest) versions_rose = false;
-    host.highest = host.store->version();
-    for (const Effect& effect : effects) CarryOut(host, effect);
+    Context context{node.identity, now_, node.random, node.next_id, effects};
+    action(*node.store, context);
+    if (node.store->version() < node.max_version) versions_monotonic = false;
+    node.max_version = node.store->version();
+    for (const Effect& effect : effects) HandleEffect(node, effect);
   }
 
  private:
   struct Watch {
-    std::string host;
+    std::string node;
     uint64_t incarnation = 0;
     PlatformOpId op = 0;
   };
   struct Pending {
     TimePoint at;
-    std::string host;
+    std::string node;
     uint64_t incarnation = 0;
     std::function<void(SettingsStore&, Context&)> action;
   };
 
-  void Later(const Host& host,
-             std::function<void(SettingsStore&, Context&)> action) {
-    pending_.push_back({now_ + Delay(), host.identity.node.name,
-                        host.identity.node.incarnation, std::move(action)});
+  void Schedule(const SimulatedNode& node,
+                std::function<void(SettingsStore&, Context&)> action) {
+    pending_.push_back({now_ + RandomDelay(), node.identity.node.name,
+                        node.identity.node.incarnation, std::move(action)});
   }
 
-  void CarryOut(Host& host, const Effect& effect) {
+  void HandleEffect(SimulatedNode& node, const Effect& effect) {
     if (const auto* answer = std::get_if<AnswerCaller>(&effect)) {
       answers[answer->call] = answer->response;
     } else if (const auto* op = std::get_if<SendPlatform>(&effect)) {
-      CarryPlatform(host, *op);
+      HandlePlatformRequest(node, *op);
     } else if (const auto* sent = std::get_if<SendPeer>(&effect)) {
-      CarryPeer(host, *sent);
+      HandlePeerMessage(node, *sent);
     }
   }
 
-  // Answered at once if it only reads or there is news, else with the news or
-  // after ten seconds without.
-  void CarryWatch(Host& host, const SendPlatform& sent, uint64_t after) {
-    const Watch watch{host.identity.node.name, host.identity.node.incarnation,
+  // Answers a watch at once if it is a read from position 0, if the document is
+  // newer or if the node is refused; otherwise with the next write of the
+  // document, or after ten seconds without one.
+  void HandleWatch(SimulatedNode& node, const SendPlatform& sent,
+                   uint64_t after) {
+    const Watch watch{node.identity.node.name, node.identity.node.incarnation,
                       sent.op};
-    watch_calls.insert(watch.host);
+    watch_calls.insert(watch.node);
     if (after == 0 || after < document_version ||
-        turned_away.count(watch.host) > 0) {
+        refused.count(watch.node) > 0) {
       AnswerWatch(watch);
       return;
     }
     open_watches_.push_back(watch);
-    pending_.push_back({now_ + std::chrono::seconds(10), watch.host,
+    pending_.push_back({now_ + std::chrono::seconds(10), watch.node,
                         watch.incarnation,
                         [this, watch](SettingsStore&, Context&) {
-                          if (EndWatch(watch.op)) AnswerWatch(watch);
+                          if (RemoveWatch(watch.op)) AnswerWatch(watch);
                         }});
   }
 
-  bool EndWatch(PlatformOpId op) {
+  bool RemoveWatch(PlatformOpId op) {
     const auto found =
         std::find_if(open_watches_.begin(), open_watches_.end(),
                      [op](const Watch& watch) { return watch.op == op; });
@@ -253,71 +261,71 @@
   }
 
   void AnswerWatch(const Watch& watch) {
-    const auto found = hosts_.find(watch.host);
-    if (found == hosts_.end()) return;
+    const auto found = nodes_.find(watch.node);
+    if (found == nodes_.end()) return;
     PlatformReplied replied{watch.op, {}};
     replied.reply.status = PlatformStatus::kUnreachable;
-    if (turned_away.count(watch.host) == 0) {
+    if (refused.count(watch.node) == 0) {
       SettingsDocument document;
       document.version = document_version;
       replied.reply.status = PlatformStatus::kOk;
       replied.reply.version = document_version;
       replied.reply.bytes = ToText(document);
     }
-    Later(found->second, [replied](SettingsStore& s, Context& context) {
+    Schedule(found->second, [replied](SettingsStore& s, Context& context) {
       s.OnPlatformReplied(replied, context);
     });
   }
 
-  void CarryPlatform(Host& host, const SendPlatform& sent) {
+  void HandlePlatformRequest(SimulatedNode& node, const SendPlatform& sent) {
     if (const auto* watch = std::get_if<TableWatchSettings>(&sent.request)) {
-      CarryWatch(host, sent, watch->after);
+      HandleWatch(node, sent, watch->after);
       return;
     }
     if (std::holds_alternative<TableReadHead>(sent.request)) ++head_reads;
     PlatformReply reply;
     switch (fault(sent.request)) {
       case Fault::kNone:
-        reply = platform.Do(sent.request);
+        reply = platform.Execute(sent.request);
         break;
       case Fault::kDown:
         reply.status = PlatformStatus::kUnreachable;
         break;
-      case Fault::kLoseAnswer:
-        platform.Do(sent.request);
+      case Fault::kLoseReply:
+        platform.Execute(sent.request);
         break;
       case Fault::kLoseRequest:
         break;
-      case Fault::kHoldBack:
-        held_.push_back(sent.request);
+      case Fault::kDelayRequest:
+        delayed_.push_back(sent.request);
         break;
     }
-    // The worst moment for a write that comes late: just after its absence was
-    // read.
-    if (std::holds_alternative<TableReadChange>(sent.request)) ReleaseHeld();
+    // The worst time for a delayed request to take effect is just after the
+    // change id was read and not found.
+    if (std::holds_alternative<TableReadChange>(sent.request)) FlushDelayed();
     const PlatformReplied replied{sent.op, reply};
-    Later(host, [replied](SettingsStore& s, Context& context) {
+    Schedule(node, [replied](SettingsStore& s, Context& context) {
       s.OnPlatformReplied(replied, context);
     });
   }
 
-  void CarryPeer(Host& from, const SendPeer& sent) {
-    if (!links_up || hosts_.count(sent.peer) == 0) return;
+  void HandlePeerMessage(SimulatedNode& from, const SendPeer& sent) {
+    if (!links_up || nodes_.count(sent.peer) == 0) return;
     const NodeRef sender = from.identity.node;
     const Endpoint address = from.identity.peer_address;
     const PeerMessage message = sent.message;
-    Later(hosts_[sent.peer], [=](SettingsStore& s, Context& context) {
-      if (const auto* asked = std::get_if<SettingsRequest>(&message)) {
-        s.OnSettingsRequest(sender, address, *asked, context);
+    Schedule(nodes_[sent.peer], [=](SettingsStore& s, Context& context) {
+      if (const auto* request = std::get_if<SettingsRequest>(&message)) {
+        s.OnSettingsRequest(sender, address, *request, context);
       } else {
         s.OnSnapshot(std::get<SettingsSnapshot>(message), context);
       }
     });
   }
 
-  void ReleaseHeld() {
-    for (const PlatformRequest& request : held_) platform.Do(request);
-    held_.clear();
+  void FlushDelayed() {
+    for (const PlatformRequest& request : delayed_) platform.Execute(request);
+    delayed_.clear();
   }
 
   void DeliverDue() {
@@ -331,25 +339,25 @@
       pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(i));
     }
     for (const Pending& item : due) {
-      if (hosts_.count(item.host) == 0) continue;
-      const Host& host = hosts_[item.host];
-      if (host.identity.node.incarnation != item.incarnation) continue;
-      Do(item.host, item.action);
+      if (nodes_.count(item.node) == 0) continue;
+      const SimulatedNode& node = nodes_[item.node];
+      if (node.identity.node.incarnation != item.incarnation) continue;
+      RunOnNode(item.node, item.action);
     }
   }
 
-  // Every node hears the version of a random other one.
+  // Each node receives the version of one randomly chosen node.
   void Gossip() {
-    if (!links_up || hosts_.size() < 2) return;
-    for (auto& [name, host] : hosts_) {
-      auto other = hosts_.begin();
+    if (!links_up || nodes_.size() < 2) return;
+    for (auto& [name, node] : nodes_) {
+      auto other = nodes_.begin();
       std::advance(other, std::uniform_int_distribution<size_t>(
-                              0, hosts_.size() - 1)(random_));
+                              0, nodes_.size() - 1)(random_));
       if (other->first == name) continue;
       const uint64_t version = other->second.store->version();
       const std::optional<Duration> confirmed =
           other->second.store->ConfirmedAgo(now_);
-      Do(name, [&](SettingsStore& s, Context& context) {
+      RunOnNode(name, [&](SettingsStore& s, Context& context) {
         s.OnVersionSeen(other->first, other->second.identity.peer_address,
                         version, context);
         if (confirmed) s.OnConfirmed(version, *confirmed, now_);
@@ -357,7 +365,7 @@
     }
   }
 
-  Duration Delay() {
+  Duration RandomDelay() {
     return Duration(
         std::uniform_int_distribution<int64_t>(1'000, 60'000)(random_));
   }
@@ -365,10 +373,10 @@
   Random random_;
   TimePoint now_ = FromMicros(1'000'000);
   CallId last_call_ = 0;
-  int rounds_ = 0;
-  std::map<std::string, Host> hosts_;
+  int steps_ = 0;
+  std::map<std::string, SimulatedNode> nodes_;
   std::vector<Pending> pending_;
-  std::vector<PlatformRequest> held_;
+  std::vector<PlatformRequest> delayed_;
   std::vector<Watch> open_watches_;
 };
 
--- a/src/libnode/settings/settings_tree_test.cc
+++ b/src/libnode/settings/settings_tree_test.cc
@@ -14,7 +14,8 @@
 
 using std::chrono::milliseconds;
 
-// Few names, so that levels overlap and override each other.
+// Generates paths from a few names only, so that levels overlap and override
+// each other.
 rc::Gen<std::string> AnyPath() {
   return rc::gen::element<std::string>("", "m", "n", "m/s", "m/t", "m/*/c",
                                        "m/s/c", "m/t/c", "m/s/d");
@@ -38,18 +39,20 @@
       });
 }
 
-// The deadline that `tree` sets at `path`, or `otherwise`.
+// Returns the deadline that `tree` sets at `path`, or `fallback` if it sets
+// none.
 Duration DeadlineAt(const SettingsTree& tree, const std::string& path,
-                    Duration otherwise) {
+                    Duration fallback) {
   const auto level = tree.levels().find(path);
-  if (level == tree.levels().end()) return otherwise;
+  if (level == tree.levels().end()) return fallback;
   const auto value = level->second.find("deadline_ms");
-  if (value == level->second.end()) return otherwise;
+  if (value == level->second.end()) return fallback;
   return milliseconds(std::stoi(value->second));
 }
 
-std::string ValueOf(const std::vector<ExplainedValue>& explained,
-                    const std::string& name, std::string& origin) {
+// Returns the value of setting `name` and sets `origin` to its level.
+std::string FindValue(const std::vector<ExplainedValue>& explained,
+                      const std::string& name, std::string& origin) {
   for (const ExplainedValue& value : explained) {
     if (value.name != name) continue;
     origin = value.origin;
@@ -62,7 +65,7 @@
 
 TEST_GROUP(SettingsTree){};
 
-TEST(SettingsTree, DefaultsOfTheTableAreThoseOfTheStruct) {
+TEST(SettingsTree, TableDefaultsMatchStructDefaults) {
   EffectiveSettings from_table;
   for (const SettingDefinition& row : SettingDefinitions()) {
     row.apply(from_table, std::string(row.default_value));
@@ -75,7 +78,7 @@
   }
 }
 
-TEST(SettingsTree, ClassOfAServiceBeatsClassOfAllServicesBeatsService) {
+TEST(SettingsTree, ServiceClassOverridesAnyServiceClassOverridesService) {
   SettingsTree tree = SettingsTree().Set("m/s", "deadline_ms", "10");
   CHECK(tree.Resolve("m", "s", "c").deadline == milliseconds(10));
   tree = tree.Set("m/*/c", "deadline_ms", "20");
@@ -86,7 +89,7 @@
   CHECK(tree.Resolve("m", "t", "c").deadline == milliseconds(20));
 }
 
-TEST(SettingsTree, ValidateTellsAllErrorsAtOnce) {
+TEST(SettingsTree, ValidateReturnsAllErrors) {
   const SettingsTree tree = SettingsTree()
                                 .Set("", "tier", "golden")
                                 .Set("", "nonsense", "1")
@@ -97,7 +100,7 @@
   CHECK_EQUAL(6u, tree.Validate().size());
 }
 
-TEST(SettingsTree, TargetAboveDeadlineIsFoundWhereLevelsMeet) {
+TEST(SettingsTree, TargetAboveDeadlineIsFoundAcrossLevels) {
   const SettingsTree tree = SettingsTree()
                                 .Set("m/s", "deadline_ms", "100")
                                 .Set("m/*/c", "target_p99_ms", "500");
@@ -105,21 +108,21 @@
   CHECK(tree.Set("m/s/c", "target_p99_ms", "90").Validate().empty());
 }
 
-TEST(SettingsTree, ExplainTellsTheLevel) {
+TEST(SettingsTree, ExplainReturnsTheLevel) {
   const SettingsTree tree = SettingsTree()
                                 .Set("", "deadline_ms", "100")
                                 .Set("m/*/c", "tier", "critical");
   const std::vector<ExplainedValue> explained = tree.Explain("m/s/c");
   std::string origin;
-  CHECK(ValueOf(explained, "deadline_ms", origin) == "100");
+  CHECK(FindValue(explained, "deadline_ms", origin) == "100");
   CHECK(origin.empty());
-  CHECK(ValueOf(explained, "tier", origin) == "critical");
+  CHECK(FindValue(explained, "tier", origin) == "critical");
   CHECK(origin == "m/*/c");
-  CHECK(ValueOf(explained, "retry_credits", origin) == "3");
+  CHECK(FindValue(explained, "retry_credits", origin) == "3");
   CHECK(origin == "default");
 }
 
-TEST(SettingsTree, EqualNumbersAreEqualTrees) {
+TEST(SettingsTree, EqualNumbersMakeEqualTrees) {
   CHECK(SettingsTree().Set("", "retry_ratio", "0.50") ==
         SettingsTree().Set("", "retry_ratio", "0.5"));
   CHECK(ToText(SettingsTree().Set("", "deadline_ms", "007")) ==
@@ -138,9 +141,10 @@
   }
 }
 
-// An operator, or a peer, sends a value of a million opened arrays; printing it
-// overflowed the stack and ended the node. Found with fuzz_settings.
-TEST(SettingsTree, DeepNestingIsRefusedAndDoesNotEndTheProcess) {
+// Guards against a stack overflow that crashed the node: an operator or a peer
+// sent a value of a million nested arrays, and printing it recursed too deeply.
+// Found with fuzz_settings.
+TEST(SettingsTree, DeepNestingIsRejectedWithoutStackOverflow) {
   constexpr size_t kLevels = 1'000'000;
   const std::string deep =
       std::string(kLevels, '[') + std::string(kLevels, ']');
@@ -153,7 +157,7 @@
   CHECK(!changes || !SettingsTree().Apply(changes.value()).Validate().empty());
 }
 
-TEST(SettingsTree, ReferencePageIsThatOfTheTable) {
+TEST(SettingsTree, ReferencePageMatchesTheTable) {
   std::ifstream page(AMARANTH_SOURCE_DIR
                      "/docs/operators/settings-reference.md");
   std::stringstream text;
@@ -161,7 +165,7 @@
   CHECK(text.str() == SettingsReference());
 }
 
-TEST(SettingsTree, StrongestLevelWins) {
+TEST(SettingsTree, HighestPrecedenceLevelApplies) {
   CHECK(rc::check("strongest level wins", [] {
     const SettingsTree tree = *AnyTree();
     Duration expected = EffectiveSettings().deadline;
@@ -183,7 +187,7 @@
   }));
 }
 
-TEST(SettingsTree, UnsetTakesBackSet) {
+TEST(SettingsTree, UnsetRevertsSet) {
   CHECK(rc::check("unset takes back set", [] {
     const SettingsTree tree = *AnyTree();
     const std::string path = *AnyPath();
