--- a/src/libnode/settings/settings_definitions.cc
+++ b/src/libnode/settings/settings_definitions.cc
@@ -36,7 +36,8 @@
   return ConcurrencyMode::kAdaptive;
 }
 
-// Rows on how a request is treated; they may be set for a request class.
+// Returns the settings that control how a request is treated. They may be set
+// for a request class.
 std::vector<Row> RequestRows() {
   return {
       {"tier",
@@ -139,7 +140,7 @@
   };
 }
 
-// Rows on how a service's backend servers are used.
+// Returns the settings that control how a service's backend servers are used.
 std::vector<Row> ServiceRows() {
   return {
       {"retry_ratio",
