--- a/src/libnode/settings/settings_definitions.cc
+++ b/src/libnode/settings/settings_definitions.cc
@@ -90,8 +90,8 @@
        "3",
        SettingScope::kClass,
        "Retries for one request over its whole call tree, however deep.",
-       "design: a chain of five hops that retries three times each would "
-       "send 243 calls to the bottom",
+       "design: with three attempts at each level, a chain of five nested "
+       "calls would send 243 attempts to the last service",
        [](EffectiveSettings& s, const std::string& v) {
          s.retry_credits = ToCount(v);
        }},
@@ -105,7 +105,7 @@
        SettingScope::kClass,
        "The class takes long compared with others of its service, such as "
        "downloads; see long_work_share.",
-       "design, long among short",
+       "design: long calls must leave slots for short ones",
        [](EffectiveSettings& s, const std::string& v) {
          s.long_work = v == "true";
        }},
@@ -151,9 +151,9 @@
        {},
        "0.1",
        SettingScope::kService,
-       "Retries per first try that a node sends to a service at most, so that "
-       "a wide failure cannot double the load.",
-       "the field's usual retry budget",
+       "Maximum ratio of retries to first attempts that a node sends to a "
+       "service, so that a widespread failure cannot double the load.",
+       "common size of a retry budget",
        [](EffectiveSettings& s, const std::string& v) {
          s.retry_ratio = std::stod(v);
        }},
@@ -167,7 +167,7 @@
        SettingScope::kService,
        "Share of a backend server's slots that long_work classes may take "
        "together.",
-       "design, long among short",
+       "design: long calls must leave slots for short ones",
        [](EffectiveSettings& s, const std::string& v) {
          s.long_work_share = std::stod(v);
        }},
@@ -192,7 +192,7 @@
        {},
        "20",
        SettingScope::kService,
-       "Queueing delay that may stand before load is shed.",
+       "Queueing delay that may persist before load is shed.",
        "CoDel's target, scaled from packets to requests",
        [](EffectiveSettings& s, const std::string& v) {
          s.queue_target = ToMilliseconds(v);
@@ -205,9 +205,10 @@
        {"adaptive", "fixed", "throughput"},
        "adaptive",
        SettingScope::kService,
-       "How the limit of calls in flight at a backend server is found: from "
-       "measured latency, fixed_limit, or from what the server ends while "
-       "calls wait for it.",
+       "How the limit of calls in flight at a backend server is determined: "
+       "from measured latency (adaptive), from fixed_limit (fixed), or from "
+       "the rate at which the server completes calls while others wait for it "
+       "(throughput).",
        "gradient limiters",
        [](EffectiveSettings& s, const std::string& v) {
          s.concurrency = ToConcurrencyMode(v);
@@ -236,7 +237,7 @@
        SettingScope::kService,
        "Share of a node's calls that may go to other data centres while its "
        "own is overloaded.",
-       "design: one overloaded data centre must not pull down the next",
+       "design: one overloaded data centre must not overload the next",
        [](EffectiveSettings& s, const std::string& v) {
          s.spill_share = std::stod(v);
        }},
@@ -249,7 +250,8 @@
        "0.3",
        SettingScope::kService,
        "Share of a service's backend servers that may be ejected as outliers.",
-       "one of three or four workers; with all out, none is better than some",
+       "one of three or four servers; if all were ejected, none would be left "
+       "to serve",
        [](EffectiveSettings& s, const std::string& v) {
          s.max_eject_share = std::stod(v);
        }},
@@ -275,7 +277,7 @@
        "30000",
        SettingScope::kService,
        "Time that a planned stop waits for requests in flight. Set it above "
-       "the longest deadline_ms, or the stop may cut a request.",
+       "the longest deadline_ms, or the stop may abort a request.",
        "longest expected request",
        [](EffectiveSettings& s, const std::string& v) {
          s.drain_timeout = ToMilliseconds(v);
@@ -334,20 +336,20 @@
 std::string SettingsReference() {
   std::ostringstream out;
   out << "# Settings reference\n\n"
-         "Written from the table in "
+         "Generated from the table in "
          "src/libnode/settings/settings_definitions.cc; a "
          "test fails when the\ntwo differ. Change the table, not this page.\n\n"
          "A value applies to everything below the level that sets it, unless "
-         "a lower level\nsets it too. Levels, from weakest to strongest for "
-         "one request:\n\n"
+         "a lower level\nsets it too. Levels, in increasing order of "
+         "precedence for one request:\n\n"
          "| path | level |\n| --- | --- |\n"
          "| `` (empty) | root |\n"
          "| `mesh` | a mesh |\n"
          "| `mesh/service` | a service of the mesh |\n"
          "| `mesh/*/class` | a request class in all services of the mesh |\n"
          "| `mesh/service/class` | a request class of one service |\n\n"
-         "`lowest level` says where a setting may still be set: one that "
-         "belongs to a service\nis refused on a request class.\n\n"
+         "`lowest level` is the lowest level at which a setting may be set: "
+         "one that belongs\nto a service is rejected on a request class.\n\n"
          "| name | values | unit | default | lowest level | meaning | why this "
          "default |\n| --- | --- | --- | --- | --- | --- | --- |\n";
   for (const SettingDefinition& row : SettingDefinitions()) WriteRow(out, row);
