--- a/src/libnode/settings/settings_store_test.cc
+++ b/src/libnode/settings/settings_store_test.cc
@@ -196,9 +196,10 @@
   CHECK(fleet.RunUntil(
       [&] { return HasAnswer(fleet, a) && HasAnswer(fleet, b); }, seconds(3)));
   CHECK_EQUAL(200 + 409, fleet.Status(a) + fleet.Status(b));
-  const CallId loser = fleet.Status(a) == 409 ? a : b;
+  const CallId conflicting = fleet.Status(a) == 409 ? a : b;
   CHECK_EQUAL(
-      1, nlohmann::json::parse(fleet.BodyText(loser))["version"].get<int>());
+      1,
+      nlohmann::json::parse(fleet.BodyText(conflicting))["version"].get<int>());
   CHECK_EQUAL(1u, fleet.platform.version);
 }
 
