--- a/src/libnode/entry/entry_attempts.cc
+++ b/src/libnode/entry/entry_attempts.cc
@@ -69,7 +69,7 @@
   const std::vector<ServerPlace>& places =
       parts_.membership.ServersOf(call.context.service);
   const EffectiveSettings& settings =
-      parts_.settings.Of(call.context.service, call.context.request_class);
+      parts_.settings.Resolve(call.context.service, call.context.request_class);
   std::optional<uint32_t> level;
   if (!SkipsAdmission(call, context)) level = call.context.level;
   std::optional<ServerPlace> place = choice_.Choose(
@@ -290,7 +290,7 @@
       IsPathFailure(last) && choice_.HasCapacity(server_key, context.now);
   RetryBudget& budget = retry_budgets_[call.context.service];
   budget.SetRatio(
-      parts_.settings.Of(call.context.service, call.context.request_class)
+      parts_.settings.Resolve(call.context.service, call.context.request_class)
           .retry_ratio);
   if (!exempt && !budget.TryRetry(context.now)) {
     parts_.stats.Count("amaranth_retries_over_budget_total");
--- a/src/libnode/entry/entry_begin.cc
+++ b/src/libnode/entry/entry_begin.cc
@@ -181,7 +181,7 @@
     return BuildNested(std::move(call), headers, routed, context);
   }
   const EffectiveSettings& settings =
-      parts_.settings.Of(call_context.service, call_context.request_class);
+      parts_.settings.Resolve(call_context.service, call_context.request_class);
   call_context.tier = settings.tier;
   ApplyClassSettings(call, settings, headers, routed);
   Duration limit = headers.deadline.value_or(settings.deadline);
@@ -219,7 +219,7 @@
   call_context.depth = static_cast<uint8_t>(parent.depth + 1);
   // A route sets for its own calls whether they may be retried and their
   // deadline, independently of the request that they belong to.
-  const EffectiveSettings& settings = parts_.settings.Of(
+  const EffectiveSettings& settings = parts_.settings.Resolve(
       call_context.service,
       routed ? headers.request_class : call_context.request_class);
   ApplyClassSettings(call, settings, headers, routed);
--- a/src/libnode/entry/entry_finish.cc
+++ b/src/libnode/entry/entry_finish.cc
@@ -64,7 +64,7 @@
   failure.final =
       failure.final || call.attempts > 1 || IsOverload(failure.reason);
   const Duration target =
-      parts_.settings.Of(call_context.service, call.call_class).target_p99;
+      parts_.settings.Resolve(call_context.service, call.call_class).target_p99;
   const bool shed =
       failure.verdict == Verdict::kNotRun && IsOverload(failure.reason);
   if (context.identity.rules.admit_at_edge && call.is_root && shed &&
@@ -106,7 +106,7 @@
 void EntryRole::CompleteInWindow(Call& call, bool served, TimePoint now) {
   if (!call.in_window) return;
   const Duration target =
-      parts_.settings.Of(call.context.service, call.call_class).target_p99;
+      parts_.settings.Resolve(call.context.service, call.call_class).target_p99;
   admission_.CompleteInWindow(
       call, served, std::min(target, call.deadline - call.started), now);
 }
--- a/src/libnode/fakes/settings_fleet.h
+++ b/src/libnode/fakes/settings_fleet.h
@@ -125,7 +125,7 @@
     node.random.seed(random_());
     node.max_version = 0;
     node.store = std::make_unique<SettingsStore>(node.identity);
-    node.store->alive_in_data_centre = [this] {
+    node.store->up_in_data_centre = [this] {
       std::vector<std::string> names;
       for (const auto& [other, unused] : nodes_) names.push_back(other);
       return names;
@@ -356,7 +356,7 @@
       if (other->first == name) continue;
       const uint64_t version = other->second.store->version();
       const std::optional<Duration> confirmed =
-          other->second.store->ConfirmedAgo(now_);
+          other->second.store->TimeSinceConfirmed(now_);
       RunOnNode(name, [&](SettingsStore& s, Context& context) {
         s.OnVersionSeen(other->first, other->second.identity.peer_address,
                         version, context);
--- a/src/libnode/node_state.cc
+++ b/src/libnode/node_state.cc
@@ -65,7 +65,7 @@
     settings.OnVersionSeen(peer, member->peer_address, version, context);
   };
   membership.settings_confirmed = [this](TimePoint now) {
-    return settings.ConfirmedAgo(now);
+    return settings.TimeSinceConfirmed(now);
   };
   membership.on_settings_confirmed = [this](uint64_t version, Duration ago,
                                             Context& context) {
@@ -298,7 +298,7 @@
   const Duration since = context.now - stop.since;
   if (since >= identity.rules.leave_delay) membership.Leave(context);
   const bool idle = entry.calls() == 0 && serving.hops() == 0;
-  const Duration limit = settings_cache.Of("", "").drain_timeout;
+  const Duration limit = settings_cache.Resolve("", "").drain_timeout;
   if (since < identity.rules.leave_grace || (!idle && since < limit)) return;
   stop.exited = true;
   context.Log(LogLevel::kInfo, "node",
--- a/src/libnode/serving/serving_servers.cc
+++ b/src/libnode/serving/serving_servers.cc
@@ -108,7 +108,7 @@
   if (departed_.Contains(record.server, stamp, context.now)) {
     record.draining = true;
   }
-  const EffectiveSettings& settings = settings_.Of(record.service, "");
+  const EffectiveSettings& settings = settings_.Resolve(record.service, "");
   const auto found = servers_.find(record.server);
   if (found != servers_.end()) {
     LocalServer& known = found->second;
--- a/src/libnode/settings/settings_cache.h
+++ b/src/libnode/settings/settings_cache.h
@@ -19,8 +19,8 @@
   SettingsCache(const SettingsStore& store, std::string mesh)
       : store_(store), mesh_(std::move(mesh)) {}
 
-  const EffectiveSettings& Of(const std::string& service,
-                              const std::string& request_class) {
+  const EffectiveSettings& Resolve(const std::string& service,
+                                   const std::string& request_class) {
     if (store_.version() != version_ || cache_.size() > kMaxEntries) {
       cache_.clear();
       version_ = store_.version();
--- a/src/libnode/settings/settings_store.cc
+++ b/src/libnode/settings/settings_store.cc
@@ -144,13 +144,8 @@
   return true;
 }
 
-<<<<<<< HEAD
-bool SettingsStore::IsAmongFirst(size_t count) const {
-  if (!up_in_data_centre) return true;
-=======
 bool SettingsStore::IsRankedWithin(size_t count) const {
-  if (!alive_in_data_centre) return true;
->>>>>>> wording-p4b
+  if (!up_in_data_centre) return true;
   const std::vector<std::string> chosen =
       RendezvousChoose(up_in_data_centre(), kDelegateKey, count);
   return std::find(chosen.begin(), chosen.end(), identity_.node.name) !=
@@ -166,7 +161,7 @@
   if (!confirmed_at_ || *confirmed_at_ < now - ago) confirmed_at_ = now - ago;
 }
 
-std::optional<Duration> SettingsStore::ConfirmedAgo(TimePoint now) const {
+std::optional<Duration> SettingsStore::TimeSinceConfirmed(TimePoint now) const {
   const bool watching =
       uses_watch() && op_ && head_known_ && !platform_failing_;
   if (watching) return Duration(0);
--- a/src/libnode/settings/settings_store.h
+++ b/src/libnode/settings/settings_store.h
@@ -28,18 +28,11 @@
   SettingsStore(const SettingsStore&) = delete;
   SettingsStore& operator=(const SettingsStore&) = delete;
 
-<<<<<<< HEAD
-  // Nodes of this data centre that are up, this one included: the delegates
-  // that poll the platform's head are chosen from them by hash.
-  std::function<std::vector<std::string>()> up_in_data_centre;
-  // Called after a new version came into force.
-=======
   // Returns the live nodes of this data centre, including this one. The
   // delegates that poll the platform's head, and the watchers, are chosen from
   // them by hash.
-  std::function<std::vector<std::string>()> alive_in_data_centre;
+  std::function<std::vector<std::string>()> up_in_data_centre;
   // Called after a new version has come into force.
->>>>>>> wording-p4b
   std::function<void(uint64_t version, Context&)> on_adopted;
 
   void Start(Context& context);
@@ -63,7 +56,7 @@
   void OnConfirmed(uint64_t version, Duration ago, TimePoint now);
   // Returns how long ago this node knew that the platform held nothing newer
   // than version(); empty if it never did.
-  std::optional<Duration> ConfirmedAgo(TimePoint now) const;
+  std::optional<Duration> TimeSinceConfirmed(TimePoint now) const;
 
   // Queues an operator's change. It is answered exactly once, possibly later,
   // by AnswerCaller with a JSON body.
