--- a/testsuite/backend_standin.cc
+++ b/testsuite/backend_standin.cc
@@ -1,6 +1,7 @@
-// A stand-in for one backend server: announces itself to its host's node, runs
-// requests in its slots, makes nested calls through the node, and fails on
-// command. What it did can be read back at /_standin/effects.
+// Stand-in for one backend server: announces itself to its host's node, runs
+// requests in its slots, makes nested calls through the node, and injects the
+// faults set at /_standin/fault. Serves counts of the requests that it ran at
+// /_standin/effects.
 
 #include <curl/curl.h>
 #include <signal.h>
@@ -30,18 +31,18 @@
 
 constexpr milliseconds kAnnouncePeriod(500);
 constexpr milliseconds kAnnounceTimeout(1000);
-// A leaving server ends once it has been idle for this long after its node
-// confirmed the leave: calls that the node had already sent get their answer.
+// After its node has confirmed the leave, a server exits once it has been idle
+// for this long, so that calls that the node had already sent are answered.
 constexpr milliseconds kIdleBeforeExit(300);
 constexpr milliseconds kNestedTimeout(60'000);
-constexpr milliseconds kHang(3'600'000);
-// The first request of a cold server takes this many times as long; the
-// factor falls to 1 over the cold start.
-constexpr double kColdFactor = 5.0;
+constexpr milliseconds kHangTime(3'600'000);
+// Factor on the service time directly after the start. Decreases linearly to 1
+// during the cold start.
+constexpr double kColdStartFactor = 5.0;
 
 struct NestedCall {
   std::string service;
-  std::string method;  // empty: as the request that it is made for
+  std::string method;  // empty: the method of the parent request
 };
 
 struct Options {
@@ -60,14 +61,14 @@
   std::vector<NestedCall> calls;
 };
 
-// What /_standin/fault sets.
+// Faults to inject, set at /_standin/fault.
 struct Faults {
-  int service_ms = -1;  // -1: as the flags say
+  int service_ms = -1;  // -1: value of the --service-ms flag
   std::string crash_on_token;
   bool hang = false;
   double error_rate = 0;
   bool truncate = false;
-  bool refuse = false;  // sheds load itself: 503 before any effect
+  bool refuse = false;  // sheds each request: 503 before it runs
 };
 
 std::vector<NestedCall> ParseCalls(const std::string& text) {
@@ -94,23 +95,26 @@
 
   uint16_t port() const { return server_.port(); }
 
-  // Announces until SIGTERM or SIGINT, then leaves and finishes its work.
+  // Announces itself until SIGTERM or SIGINT, then leaves and waits until it is
+  // idle. Returns at once on another signal before the node has confirmed the
+  // leave.
   void RunUntilSignal(const sigset_t& signals) {
     const timespec period{0, std::chrono::nanoseconds(kAnnouncePeriod).count()};
     do {
       PostToNode("/amaranth/v1/announce", Announcement());
     } while (sigtimedwait(&signals, nullptr, &period) < 0);
-    std::cerr << "backend: " << options_.name << " leaves\n";
+    std::cerr << "backend: " << options_.name << " is leaving\n";
     while (!PostToNode("/amaranth/v1/leave", {{"server", options_.name}})) {
       if (sigtimedwait(&signals, nullptr, &period) >= 0) return;
     }
-    while (!Idle()) std::this_thread::sleep_for(milliseconds(10));
-    std::cerr << "backend: " << options_.name << " ends, nothing in flight\n";
+    while (!IsIdle()) std::this_thread::sleep_for(milliseconds(10));
+    std::cerr << "backend: " << options_.name
+              << " exits, no requests in flight\n";
   }
 
  private:
-  bool Idle() const {
-    const Clock::time_point last(Clock::duration(last_end_.load()));
+  bool IsIdle() const {
+    const Clock::time_point last(Clock::duration(last_request_end_.load()));
     return in_flight_ == 0 && Clock::now() - last >= kIdleBeforeExit;
   }
 
@@ -140,7 +144,7 @@
   void Handle(Exchange& exchange) {
     const HttpRequest& request = exchange.request();
     if (request.target == "/_standin/effects") {
-      exchange.Answer(JsonResponse(200, effects_.Json()));
+      exchange.Answer(JsonResponse(200, effects_.ToJson()));
     } else if (request.target == "/_standin/fault") {
       exchange.Answer(SetFaults(request));
     } else if (request.target == "/health") {
@@ -148,7 +152,7 @@
     } else {
       ++in_flight_;
       Serve(exchange);
-      last_end_ = Clock::now().time_since_epoch().count();
+      last_request_end_ = Clock::now().time_since_epoch().count();
       --in_flight_;
     }
   }
@@ -177,15 +181,15 @@
     const Clock::time_point arrival = Clock::now();
     SlotGuard slot(slots_);
     const Faults faults = this->faults();
-    if (faults.refuse || Expired(request, arrival) ||
-        exchange.WaitOrGone(milliseconds(0))) {
-      effects_.Refused();
+    if (faults.refuse || IsPastDeadline(request, arrival) ||
+        exchange.WaitForClose(milliseconds(0))) {
+      effects_.RecordRefusal();
       exchange.Answer(JsonResponse(faults.refuse ? 503 : 504, "{}"));
       return;
     }
-    effects_.Started(request);
+    effects_.RecordStart(request);
     Run(exchange, faults);
-    effects_.Finished();
+    effects_.RecordFinish();
   }
 
   void Run(Exchange& exchange, const Faults& faults) {
@@ -195,13 +199,13 @@
                 << "\n";
       std::abort();
     }
-    const milliseconds time = faults.hang ? kHang : ServiceTime(faults);
-    if (exchange.WaitOrGone(time)) return;  // cancelled by its caller
-    if (RollsError(faults)) {
+    const milliseconds time = faults.hang ? kHangTime : ServiceTime(faults);
+    if (exchange.WaitForClose(time)) return;  // caller closed the connection
+    if (InjectsError(faults)) {
       exchange.Answer(JsonResponse(500, R"({"error":"fault"})"));
       return;
     }
-    const HttpResponse response = Answer(exchange.request(), token);
+    const HttpResponse response = RunNestedCalls(exchange.request(), token);
     if (faults.truncate) {
       exchange.AnswerTruncated(response);
     } else {
@@ -209,7 +213,8 @@
     }
   }
 
-  static bool Expired(const HttpRequest& request, Clock::time_point arrival) {
+  static bool IsPastDeadline(const HttpRequest& request,
+                             Clock::time_point arrival) {
     const std::string text(
         FindHeader(request.headers, "X-Amaranth-Deadline-Ms"));
     if (text.empty()) return false;
@@ -222,24 +227,26 @@
     if (faults.service_ms >= 0) time = milliseconds(faults.service_ms);
     const Clock::duration age = Clock::now() - start_;
     if (age >= options_.cold_start) return time;
-    const double coldness =
+    const double cold_fraction =
         1.0 - std::chrono::duration<double>(age) /
                   std::chrono::duration<double>(options_.cold_start);
     return std::chrono::duration_cast<milliseconds>(
-        time * (1.0 + (kColdFactor - 1.0) * coldness));
+        time * (1.0 + (kColdStartFactor - 1.0) * cold_fraction));
   }
 
-  // Spreads errors evenly: the k-th request fails if k * rate passes a whole
-  // number, so that the same requests fail in each run.
-  bool RollsError(const Faults& faults) {
-    const uint64_t count = ++rolls_;
+  // Spreads errors evenly and deterministically: the k-th request fails if the
+  // integer part of k * rate exceeds that of (k - 1) * rate, so that the same
+  // requests fail in each run.
+  bool InjectsError(const Faults& faults) {
+    const uint64_t count = ++error_checks_;
     return static_cast<uint64_t>(count * faults.error_rate) !=
            static_cast<uint64_t>((count - 1) * faults.error_rate);
   }
 
-  // The first nested call that fails fails this request with its status, so a
-  // caller is told to come back in its Retry-After.
-  HttpResponse Answer(const HttpRequest& request, const std::string& token) {
+  // Makes the nested calls in order and returns the response. The first nested
+  // call that fails determines the status and Retry-After of the response.
+  HttpResponse RunNestedCalls(const HttpRequest& request,
+                              const std::string& token) {
     json answer = {{"service", options_.service},
                    {"server", options_.name},
                    {"token", token},
@@ -292,37 +299,38 @@
   EffectLog effects_;
   SlotQueue slots_;
   std::atomic<int> in_flight_{0};
-  std::atomic<int64_t> last_end_{Clock::now().time_since_epoch().count()};
-  std::atomic<uint64_t> rolls_{0};
-  HttpServer server_;  // last: its threads use the rest
+  std::atomic<int64_t> last_request_end_{
+      Clock::now().time_since_epoch().count()};
+  std::atomic<uint64_t> error_checks_{0};
+  HttpServer server_;  // last: its threads use the members above
 };
 
 cxxopts::Options Flags() {
   cxxopts::Options flags("backend_standin", "Stand-in for a backend server");
   cxxopts::OptionAdder add = flags.add_options();
   add("name", "name of this server", cxxopts::value<std::string>());
-  add("service", "service it serves", cxxopts::value<std::string>());
-  add("ip", "own IP number",
+  add("service", "service that it provides", cxxopts::value<std::string>());
+  add("ip", "own IP address",
       cxxopts::value<std::string>()->default_value("127.0.0.1"));
-  add("port", "own port, 0 for any",
+  add("port", "own port, 0 for any free port",
       cxxopts::value<uint16_t>()->default_value("0"));
-  add("node", "callers' port of its host's node",
+  add("node", "address (ip:port) of the callers' port of its host's node",
       cxxopts::value<std::string>());
-  add("announce-address", "address to announce, if not its own",
+  add("announce-address", "address to announce instead of its own",
       cxxopts::value<std::string>()->default_value(""));
-  add("slots", "requests run at once",
+  add("slots", "maximum number of requests run concurrently",
       cxxopts::value<uint32_t>()->default_value("100"));
-  add("connections", "open connections at once",
+  add("connections", "maximum number of open connections",
       cxxopts::value<int>()->default_value("750"));
-  add("service-ms", "time a request takes",
+  add("service-ms", "service time of a request in milliseconds",
       cxxopts::value<int>()->default_value("5"));
-  add("cold-start-ms", "time until it runs at full speed",
+  add("cold-start-ms", "duration of the cold start in milliseconds",
       cxxopts::value<int>()->default_value("0"));
   add("calls", "nested calls: service[:METHOD],...",
       cxxopts::value<std::string>()->default_value(""));
-  add("body-bytes", "padding of each answer",
+  add("body-bytes", "bytes of padding in each answer",
       cxxopts::value<size_t>()->default_value("0"));
-  add("ports-file", "where to write its port as JSON",
+  add("ports-file", "file to write its port to, as JSON",
       cxxopts::value<std::string>()->default_value(""));
   return flags;
 }
@@ -347,7 +355,8 @@
 }
 
 int Main(int argc, char** argv) {
-  // Blocked before any thread starts, so that only the main thread gets them.
+  // Blocks the signals before any thread starts, so that only the main thread
+  // receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -360,8 +369,8 @@
   Backend backend(options);
   WritePortFile(options.ports_file, backend.port());
   backend.RunUntilSignal(signals);
-  // Threads of idle connections still run; nothing of theirs is worth waiting
-  // for.
+  // Exits without joining the threads of idle connections, which are still
+  // running.
   std::_Exit(0);
 }
 
--- a/testsuite/effect_log.h
+++ b/testsuite/effect_log.h
@@ -11,11 +11,12 @@
 
 namespace amaranth::testsuite {
 
-// Counts what a backend server did, by what its callers called it. A run is
-// counted when it starts: from then on "not run" would be a lie.
+// Counts the requests that a backend server ran, also by request id,
+// idempotency key and token. A request is counted when it starts: from then on
+// the verdict "not run" would be false.
 class EffectLog {
  public:
-  void Started(const HttpRequest& request) {
+  void RecordStart(const HttpRequest& request) {
     std::lock_guard<std::mutex> lock(mutex_);
     ++started_;
     Count(by_request_id_, FindHeader(request.headers, "X-Amaranth-Request-Id"));
@@ -23,17 +24,17 @@
     Count(by_token_, FindHeader(request.headers, "X-Token"));
   }
 
-  void Finished() {
+  void RecordFinish() {
     std::lock_guard<std::mutex> lock(mutex_);
     ++finished_;
   }
 
-  void Refused() {
+  void RecordRefusal() {
     std::lock_guard<std::mutex> lock(mutex_);
     ++refused_;
   }
 
-  std::string Json() const {
+  std::string ToJson() const {
     std::lock_guard<std::mutex> lock(mutex_);
     const nlohmann::json json = {
         {"started", started_}, {"finished", finished_},
--- a/testsuite/http_server.cc
+++ b/testsuite/http_server.cc
@@ -15,8 +15,8 @@
 
 using asio::ip::tcp;
 
-// What http_parser's callbacks fill in.
-struct Incoming {
+// Request being parsed, filled in by the callbacks of http_parser.
+struct IncomingRequest {
   HttpRequest request;
   std::string body;
   bool last_was_value = false;
@@ -24,17 +24,17 @@
   bool keep_alive = true;
 };
 
-Incoming& Of(http_parser* parser) {
-  return *static_cast<Incoming*>(parser->data);
+IncomingRequest& IncomingOf(http_parser* parser) {
+  return *static_cast<IncomingRequest*>(parser->data);
 }
 
 int OnUrl(http_parser* parser, const char* data, size_t size) {
-  Of(parser).request.target.append(data, size);
+  IncomingOf(parser).request.target.append(data, size);
   return 0;
 }
 
 int OnHeaderField(http_parser* parser, const char* data, size_t size) {
-  Incoming& incoming = Of(parser);
+  IncomingRequest& incoming = IncomingOf(parser);
   if (incoming.last_was_value || incoming.request.headers.empty()) {
     incoming.request.headers.emplace_back();
   }
@@ -44,20 +44,21 @@
 }
 
 int OnHeaderValue(http_parser* parser, const char* data, size_t size) {
-  Incoming& incoming = Of(parser);
+  IncomingRequest& incoming = IncomingOf(parser);
   incoming.last_was_value = true;
   incoming.request.headers.back().value.append(data, size);
   return 0;
 }
 
 int OnBody(http_parser* parser, const char* data, size_t size) {
-  Of(parser).body.append(data, size);
+  IncomingOf(parser).body.append(data, size);
   return 0;
 }
 
-// Pauses, so that a pipelined request behind this one waits its turn.
+// Pauses the parser, so that a pipelined request is not parsed before this one
+// has been handled.
 int OnMessageComplete(http_parser* parser) {
-  Incoming& incoming = Of(parser);
+  IncomingRequest& incoming = IncomingOf(parser);
   incoming.complete = true;
   incoming.keep_alive = http_should_keep_alive(parser) != 0;
   incoming.request.method =
@@ -113,7 +114,7 @@
     open_ = false;
   }
 
-  bool WaitOrGone(Duration time) override {
+  bool WaitForClose(Duration time) override {
     pollfd poll_entry{socket_.native_handle(), POLLRDHUP, 0};
     const int millis = static_cast<int>(ToMillis(time));
     return ::poll(&poll_entry, 1, millis) > 0;
@@ -133,7 +134,7 @@
   bool open_ = true;
 };
 
-// Serves one connection until either side closes it.
+// Serves one connection until either side closes it or a request is malformed.
 class Session {
  public:
   Session(tcp::socket socket, const ExchangeHandler& handler)
@@ -151,12 +152,12 @@
 
  private:
   bool ReadRequest() {
-    incoming_ = Incoming();
+    incoming_ = IncomingRequest();
     incoming_.request.target.clear();
     parser_.data = &incoming_;
     while (!incoming_.complete) {
-      if (pending_.empty() && !ReadSome()) return false;
-      if (!ParsePending()) return false;
+      if (buffered_.empty() && !ReadSome()) return false;
+      if (!ParseBuffered()) return false;
     }
     incoming_.request.body = Body(std::move(incoming_.body));
     return true;
@@ -165,17 +166,17 @@
   bool ReadSome() {
     asio::error_code error;
     const size_t size = socket_.read_some(asio::buffer(chunk_), error);
-    pending_.append(chunk_.data(), size);
+    buffered_.append(chunk_.data(), size);
     return !error;
   }
 
-  bool ParsePending() {
+  bool ParseBuffered() {
     static const http_parser_settings settings = ParserSettings();
-    const size_t used = http_parser_execute(&parser_, &settings,
-                                            pending_.data(), pending_.size());
+    const size_t parsed_size = http_parser_execute(
+        &parser_, &settings, buffered_.data(), buffered_.size());
     const bool paused = HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED;
     if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK && !paused) return false;
-    pending_.erase(0, used);
+    buffered_.erase(0, parsed_size);
     if (paused) http_parser_pause(&parser_, 0);
     return true;
   }
@@ -183,8 +184,8 @@
   tcp::socket socket_;
   const ExchangeHandler& handler_;
   http_parser parser_;
-  Incoming incoming_;
-  std::string pending_;
+  IncomingRequest incoming_;
+  std::string buffered_;
   std::array<char, 65536> chunk_;
 };
 
--- a/testsuite/http_server.h
+++ b/testsuite/http_server.h
@@ -1,10 +1,11 @@
 #ifndef AMARANTHROUTE_TESTSUITE_HTTP_SERVER_H_
 #define AMARANTHROUTE_TESTSUITE_HTTP_SERVER_H_
 
-// A small HTTP/1.1 server for the stand-ins: one thread a connection, blocking
-// sockets. A product's server answers or fails by the rules; a stand-in must
-// also misbehave on purpose (cut an answer, go silent, notice that its caller
-// left), which needs the bare socket.
+// HTTP/1.1 server for the stand-ins, with one thread per connection and
+// blocking sockets. A stand-in must also misbehave on purpose (truncate an
+// answer, stop responding, detect that its caller has closed the connection).
+// Production HTTP servers do not offer that, so this one works on the socket
+// directly.
 
 #include <atomic>
 #include <cstdint>
@@ -17,31 +18,33 @@
 
 namespace amaranth::testsuite {
 
-// One request on one connection.
+// One request on a connection, with the ways to answer it.
 class Exchange {
  public:
   virtual ~Exchange() = default;
   virtual const HttpRequest& request() const = 0;
-  // Sends a whole response; the connection stays open.
+  // Sends a complete response and keeps the connection open.
   virtual void Answer(const HttpResponse& response) = 0;
-  // Announces the whole length, sends half of the body and closes.
+  // Sends the full Content-Length but only half of the body, then closes the
+  // connection.
   virtual void AnswerTruncated(const HttpResponse& response) = 0;
-  // Closes the connection without a word.
+  // Closes the connection without an answer.
   virtual void Drop() = 0;
-  // Waits for `time`, or less if the caller closes; true if it closed.
-  virtual bool WaitOrGone(Duration time) = 0;
+  // Waits until the caller closes the connection, at most for `time`. Returns
+  // whether it closed.
+  virtual bool WaitForClose(Duration time) = 0;
 };
 
 using ExchangeHandler = std::function<void(Exchange&)>;
 
-// Listens from construction to the end of the process. Handlers run on the
-// connections' threads.
+// Listens from its construction until the process exits. Handlers run on the
+// threads of the connections.
 class HttpServer {
  public:
   struct Options {
     std::string ip = "127.0.0.1";
     uint16_t port = 0;
-    // Connections over this limit are closed as soon as they are accepted.
+    // Further connections are closed as soon as they are accepted.
     int max_connections = 4096;
   };
 
@@ -57,10 +60,10 @@
   std::shared_ptr<Impl> impl_;
 };
 
-// Writes {"port": N} to `path`, whole or not at all; no file if it is empty.
+// Writes {"port": N} to `path` atomically. Does nothing if `path` is empty.
 void WritePortFile(const std::string& path, uint16_t port);
 
-// A response with a JSON body.
+// Returns a response with a JSON body.
 HttpResponse JsonResponse(int status, std::string json);
 
 }  // namespace amaranth::testsuite
--- a/testsuite/node_client.h
+++ b/testsuite/node_client.h
@@ -9,8 +9,9 @@
 
 namespace amaranth::testsuite {
 
-// A blocking HTTP call to `address` ("ip:port"), on a connection that the
-// calling thread keeps open between calls. Empty if no whole answer came.
+// Makes a blocking HTTP call to `address` ("ip:port"). The calling thread keeps
+// its connection open between calls. Returns nothing if no complete response
+// arrived within `timeout`.
 std::optional<HttpResponse> CallNode(const std::string& address,
                                      const HttpRequest& request,
                                      Duration timeout);
--- a/testsuite/platform_model.cc
+++ b/testsuite/platform_model.cc
@@ -10,8 +10,8 @@
 using nlohmann::json;
 
 constexpr std::string_view kTargetPrefix = "DynamoDB_20120810.";
-// Small, so that lists of a few nodes have several pages in tests.
-constexpr size_t kQueryPage = 100;
+// Small, so that lists of a few hundred nodes have several pages in tests.
+constexpr size_t kQueryPageSize = 100;
 constexpr size_t kMaxTransactItems = 100;
 constexpr size_t kMaxBatchGetKeys = 100;
 
@@ -52,8 +52,8 @@
     return TableError("UnknownOperationException", std::string(target));
   }
   try {
-    return Operate(std::string(target.substr(kTargetPrefix.size())),
-                   json::parse(request.body.view()));
+    return DispatchOperation(std::string(target.substr(kTargetPrefix.size())),
+                             json::parse(request.body.view()));
   } catch (const json::exception& error) {
     return TableError("SerializationException", error.what());
   }
@@ -64,9 +64,9 @@
   return counts_;
 }
 
-HttpResponse PlatformModel::Operate(const std::string& operation,
-                                    const Json& body) {
-  if (operation == "TransactWriteItems") return Transact(body);
+HttpResponse PlatformModel::DispatchOperation(const std::string& operation,
+                                              const Json& body) {
+  if (operation == "TransactWriteItems") return TransactWrite(body);
   if (operation == "PutItem") return PutItem(body);
   if (operation == "GetItem") return GetItem(body);
   if (operation == "BatchGetItem") return BatchGet(body);
@@ -74,13 +74,13 @@
   return TableError("UnknownOperationException", operation);
 }
 
-HttpResponse PlatformModel::Transact(const Json& body) {
+HttpResponse PlatformModel::TransactWrite(const Json& body) {
   const Json& items = body.at("TransactItems");
   if (items.empty() || items.size() > kMaxTransactItems) {
     return Invalid("a transaction has 1 to 100 items");
   }
   Json reasons = Json::array();
-  bool holds = true;
+  bool all_hold = true;
   std::set<std::pair<std::string, Key>> seen;
   for (const Json& item : items) {
     const Json& put = item.at("Put");
@@ -90,9 +90,9 @@
           "Transaction request cannot include multiple operations on one item");
     }
     reasons.push_back(CheckPut(put));
-    holds = holds && reasons.back()["Code"] == "None";
+    all_hold = all_hold && reasons.back()["Code"] == "None";
   }
-  if (!holds) {
+  if (!all_hold) {
     ++counts_.cancelled;
     const Json error = {
         {"__type",
@@ -119,7 +119,8 @@
   return reason;
 }
 
-// Knows "attribute_not_exists(pk)" and "NAME = :VALUE".
+// Supports "attribute_not_exists(pk)" and "NAME = :VALUE". Any other condition
+// counts as failed.
 bool PlatformModel::ConditionHolds(const Json& put,
                                    const Json* old_item) const {
   const std::string condition = put.value("ConditionExpression", "");
@@ -183,7 +184,7 @@
   return JsonResponse(200, answer.dump());
 }
 
-// Knows "pk = :VALUE".
+// Supports "pk = :VALUE" only.
 HttpResponse PlatformModel::Query(const Json& body) {
   const std::string condition =
       body.at("KeyConditionExpression").get<std::string>();
@@ -202,12 +203,12 @@
   }
   Json items = Json::array();
   for (; row != table.end() && row->first.first == partition; ++row) {
-    if (items.size() == kQueryPage) break;
+    if (items.size() == kQueryPageSize) break;
     items.push_back(row->second);
   }
   ++counts_.reads;
   Json answer = {{"Count", items.size()}};
-  if (items.size() == kQueryPage) {
+  if (items.size() == kQueryPageSize) {
     answer["LastEvaluatedKey"] = {{"pk", items.back().at("pk")},
                                   {"sk", items.back().at("sk")}};
   }
--- a/testsuite/platform_model.h
+++ b/testsuite/platform_model.h
@@ -1,10 +1,10 @@
 #ifndef AMARANTHROUTE_TESTSUITE_PLATFORM_MODEL_H_
 #define AMARANTHROUTE_TESTSUITE_PLATFORM_MODEL_H_
 
-// What the platform's table service and object store do with a request, kept
-// in memory: the part of DynamoDB's JSON protocol and of S3's REST protocol
-// that amaranthroute uses. Shares no code with src/libplatform, so that a
-// mistake in its codec is not made twice.
+// In-memory model of the platform's table service and object store. Implements
+// the part of DynamoDB's JSON protocol and of S3's REST protocol that
+// amaranthroute uses. Shares no code with src/libplatform, so that an error in
+// its codec is not repeated here and hidden.
 
 #include <cstdint>
 #include <map>
@@ -18,13 +18,13 @@
 namespace amaranth::testsuite {
 
 struct PlatformCounts {
-  uint64_t reads = 0;         // rows or objects
-  uint64_t writes = 0;        // rows or objects that were written
-  uint64_t transactions = 0;  // that took effect
+  uint64_t reads = 0;         // rows or objects read; a query counts once
+  uint64_t writes = 0;        // rows or objects written
+  uint64_t transactions = 0;  // transactions that took effect
   uint64_t cancelled = 0;     // transactions whose conditions failed
 };
 
-// Any thread may call it.
+// Thread-safe.
 class PlatformModel {
  public:
   HttpResponse Handle(const HttpRequest& request);
@@ -35,8 +35,9 @@
   using Key = std::pair<std::string, std::string>;
   using Table = std::map<Key, Json>;
 
-  HttpResponse Operate(const std::string& operation, const Json& body);
-  HttpResponse Transact(const Json& body);
+  HttpResponse DispatchOperation(const std::string& operation,
+                                 const Json& body);
+  HttpResponse TransactWrite(const Json& body);
   HttpResponse PutItem(const Json& body);
   HttpResponse GetItem(const Json& body);
   HttpResponse BatchGet(const Json& body);
@@ -44,7 +45,7 @@
   HttpResponse PutObject(const HttpRequest& request);
   HttpResponse GetObject(const HttpRequest& request);
 
-  // Why the put would fail: {"Code": "None"} if it would not.
+  // Returns why the put would fail, or {"Code": "None"} if it would succeed.
   Json CheckPut(const Json& put);
   bool ConditionHolds(const Json& put, const Json* old_item) const;
   const Json* Find(const std::string& table, const Key& key) const;
--- a/testsuite/platform_standin.cc
+++ b/testsuite/platform_standin.cc
@@ -1,5 +1,5 @@
-// A stand-in for the platform: table service and object store on one port,
-// kept in memory, with faults set at /_standin/fault and counters read at
+// Stand-in for the platform: an in-memory table service and object store on one
+// port. Faults are set at /_standin/fault; counters are served at
 // /_standin/counts.
 
 #include <signal.h>
@@ -23,9 +23,9 @@
 
 struct Faults {
   Mode mode = Mode::kOk;
-  int delay_ms = 0;      // kSlow: before each answer
-  int lose_answers = 0;  // so many writes take effect and are not answered
-  std::set<std::string> refuse_from;  // access keys that are cut off
+  int delay_ms = 0;      // kSlow: delay before each answer
+  int lose_answers = 0;  // number of writes to apply without an answer
+  std::set<std::string> refuse_from;  // access keys whose requests are dropped
 };
 
 Mode ParseMode(const std::string& text) {
@@ -33,7 +33,7 @@
   return text == "slow" ? Mode::kSlow : Mode::kOk;
 }
 
-// From "AWS4-HMAC-SHA256 Credential=KEY/DATE/...".
+// Returns KEY from "AWS4-HMAC-SHA256 Credential=KEY/DATE/...", empty if absent.
 std::string AccessKey(const HttpRequest& request) {
   const std::string_view text = FindHeader(request.headers, "Authorization");
   constexpr std::string_view kStart = "Credential=";
@@ -73,18 +73,18 @@
   void Serve(Exchange& exchange) {
     const HttpRequest& request = exchange.request();
     const Faults faults = this->faults();
-    const bool cut_off = faults.refuse_from.count(AccessKey(request)) > 0;
-    if (faults.mode == Mode::kDown || cut_off) {
+    const bool key_refused = faults.refuse_from.count(AccessKey(request)) > 0;
+    if (faults.mode == Mode::kDown || key_refused) {
       exchange.Drop();
       return;
     }
     const HttpResponse response = model_.Handle(request);
-    if (IsWrite(request) && LosesAnswer()) {
+    if (IsWrite(request) && ConsumeLostAnswer()) {
       exchange.Drop();
       return;
     }
     if (faults.mode == Mode::kSlow) {
-      exchange.WaitOrGone(std::chrono::milliseconds(faults.delay_ms));
+      exchange.WaitForClose(std::chrono::milliseconds(faults.delay_ms));
     }
     exchange.Answer(response);
   }
@@ -94,7 +94,7 @@
     return faults_;
   }
 
-  bool LosesAnswer() {
+  bool ConsumeLostAnswer() {
     std::lock_guard<std::mutex> lock(mutex_);
     if (faults_.lose_answers == 0) return false;
     --faults_.lose_answers;
@@ -130,7 +130,7 @@
   Faults faults_;
   uint64_t answers_lost_ = 0;
   PlatformModel model_;
-  HttpServer server_;  // last: its threads use the rest
+  HttpServer server_;  // last: its threads use the members above
 };
 
 int Main(int argc, char** argv) {
@@ -143,11 +143,11 @@
 
   cxxopts::Options flags("platform_standin", "Stand-in for the platform");
   cxxopts::OptionAdder add = flags.add_options();
-  add("ip", "own IP number",
+  add("ip", "own IP address",
       cxxopts::value<std::string>()->default_value("127.0.0.1"));
-  add("port", "own port, 0 for any",
+  add("port", "own port, 0 for any free port",
       cxxopts::value<uint16_t>()->default_value("0"));
-  add("ports-file", "where to write its port as JSON",
+  add("ports-file", "file to write its port to, as JSON",
       cxxopts::value<std::string>()->default_value(""));
   const cxxopts::ParseResult parsed = flags.parse(argc, argv);
 
--- a/testsuite/slot_queue.h
+++ b/testsuite/slot_queue.h
@@ -7,18 +7,18 @@
 
 namespace amaranth::testsuite {
 
-// A backend server's worker slots with its backlog: first come, first served.
+// The worker slots of a backend server, with a first-in, first-out backlog.
 class SlotQueue {
  public:
   explicit SlotQueue(uint32_t slots) : free_(slots) {}
 
-  // Blocks until a slot is free and everybody who came before has one.
+  // Blocks until a slot is free and all earlier callers have got theirs.
   void Acquire() {
     std::unique_lock<std::mutex> lock(mutex_);
     const uint64_t ticket = next_ticket_++;
-    changed_.wait(lock, [&] { return free_ > 0 && serving_ == ticket; });
+    changed_.wait(lock, [&] { return free_ > 0 && next_served_ == ticket; });
     --free_;
-    ++serving_;
+    ++next_served_;
     changed_.notify_all();
   }
 
@@ -33,10 +33,10 @@
   std::condition_variable changed_;
   uint32_t free_;
   uint64_t next_ticket_ = 0;
-  uint64_t serving_ = 0;
+  uint64_t next_served_ = 0;
 };
 
-// Holds one slot for its life.
+// Holds one slot during its lifetime.
 class SlotGuard {
  public:
   explicit SlotGuard(SlotQueue& slots) : slots_(slots) { slots_.Acquire(); }
