--- a/src/amaranthd/main.cc
+++ b/src/amaranthd/main.cc
@@ -1,8 +1,8 @@
-// The node program: reads its options, joins the reducer with the shells, and
-// runs until it is asked to stop.
+// Entry point of the node: parses the options, connects the reducer to the I/O
+// shells and runs until the process is asked to stop.
 //
-// Exit codes: 0 drained and ended, 1 stopped at once (second signal) or could
-// not start, 2 options are wrong.
+// Exit codes: 0 drained and exited, 1 stopped immediately (second signal) or
+// failed to start, 2 invalid options.
 
 #include <unistd.h>
 
@@ -28,21 +28,23 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr int kExitDone = 0;
-constexpr int kExitFailed = 1;
+constexpr int kExitSuccess = 0;
+constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 
-// A stopping process that has a grace must not overrun it for a slow reader: it
-// would be killed with its other connections.
-constexpr std::chrono::milliseconds kFlushInGrace{300};
+// Limits how long the exit waits for callers that read slowly when a stop grace
+// is set. A process that exceeds the grace is killed, which breaks its other
+// connections too.
+constexpr std::chrono::milliseconds kFlushLimitWithinGrace{300};
 
-// Of the grace that a stopping process has, the part in which it waits for
-// requests in flight; the rest is for writing the last answers.
-constexpr double kDrainPartOfGrace = 0.85;
+// Share of the stop grace in which a stopping process waits for requests in
+// flight. The rest is left for writing the last answers.
+constexpr double kDrainShareOfGrace = 0.85;
 
-// Later starts on one host get higher numbers as long as its wall clock does
-// not go back by more than the time between two starts; if it does, the node
-// learns of it from its peers and starts again (Host::restart_above).
+// Returns the wall clock time in microseconds. Later starts on one host get
+// higher numbers unless the clock is set back by more than the time between two
+// starts. In that case the node learns from its peers that its incarnation is
+// too low, and restarts with a higher one (Host::restart_above).
 uint64_t NewIncarnation() {
   return static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(
@@ -50,17 +52,18 @@
           .count());
 }
 
-// Renamed into place, so that a reader never sees half of it.
+// Writes a temporary file and renames it, so that a reader never sees a partly
+// written file.
 void WritePortsFile(const std::string& path, const NodeIdentity& identity,
                     const HostPorts& ports) {
-  const nlohmann::json text = {
+  const nlohmann::json contents = {
       {"node", identity.node.name}, {"incarnation", identity.node.incarnation},
       {"pid", ::getpid()},          {"ip", identity.peer_address.ip},
       {"caller", ports.caller},     {"operator", ports.operators},
       {"peer", ports.peer},         {"gossip", ports.gossip},
       {"announce", ports.announce}};
   const std::string partial = path + ".partial";
-  std::ofstream(partial) << text.dump() << "\n";
+  std::ofstream(partial) << contents.dump() << "\n";
   if (std::rename(partial.c_str(), path.c_str()) != 0) {
     throw std::runtime_error("cannot write " + path);
   }
@@ -81,7 +84,7 @@
     host.announce_listen = Endpoint{options.ip, *options.announce_port};
   }
   if (options.rows) platform::AdaptShells(host);
-  if (options.stop_grace.count() > 0) host.flush_limit = kFlushInGrace;
+  if (options.stop_grace.count() > 0) host.flush_limit = kFlushLimitWithinGrace;
   host.client.max_response_bytes = options.identity.max_body_bytes;
   host.log.level = options.log_level;
   host.log.format = options.log_format;
@@ -89,27 +92,30 @@
   return host;
 }
 
-// Writes each event with its effects' digest, for `amaranthctl replay`. A new
-// process starts a new log: a replay drives one node from its start.
-HostReducer Recorded(const HostReducer& reducer, const NodeIdentity& identity,
-                     const std::string& path) {
+// Wraps `reducer` to log each event with the digest of its effects, for
+// `amaranthctl replay`. An existing file is truncated, because a replay drives
+// one node from its start.
+HostReducer WithRecording(const HostReducer& reducer,
+                          const NodeIdentity& identity,
+                          const std::string& path) {
   const std::shared_ptr<std::ofstream> file =
       std::make_shared<std::ofstream>(path, std::ios::trunc);
   if (!*file) throw std::runtime_error("cannot write " + path);
-  HostReducer recorded;
-  recorded.start = [file, identity, start = reducer.start](TimePoint now) {
+  HostReducer recording;
+  recording.start = [file, identity, start = reducer.start](TimePoint now) {
     *file << FormatIdentity(identity, now) << "\n";
     return start(now);
   };
-  recorded.reduce = [file, reduce = reducer.reduce](const Event& event) {
+  recording.reduce = [file, reduce = reducer.reduce](const Event& event) {
     Effects effects = reduce(event);
     *file << FormatEvent(event, DigestOf(effects)) << "\n";
     return effects;
   };
-  return recorded;
+  return recording;
 }
 
-// The node is made when the ports are bound: it tells its peers of them.
+// Called after the ports are bound, because the node announces their numbers to
+// its peers.
 HostReducer MakeReducer(const DaemonOptions& options, const HostPorts& ports) {
   NodeIdentity identity = options.identity;
   const std::string& ip = options.ip;
@@ -123,14 +129,14 @@
   reducer.start = [node](TimePoint now) { return node->Start(now); };
   reducer.reduce = [node](const Event& event) { return node->Reduce(event); };
   if (!options.record_file.empty()) {
-    reducer = Recorded(reducer, identity, options.record_file);
+    reducer = WithRecording(reducer, identity, options.record_file);
   }
   if (!options.rows) return reducer;
   return platform::Adapt(reducer, {options.server_service});
 }
 
-std::shared_ptr<PlatformBridge> MakePlatform(asio::io_context& io,
-                                             const DaemonOptions& options) {
+std::shared_ptr<PlatformBridge> MakePlatformBridge(
+    asio::io_context& io, const DaemonOptions& options) {
   if (!options.platform) return nullptr;
   PlatformOptions platform;
   platform.table_endpoint = options.platform->table;
@@ -149,22 +155,22 @@
   rows.address = *options.rows;
   rows.config.mesh = options.identity.mesh;
   rows.config.drain_timeout = std::chrono::duration_cast<Duration>(
-      options.stop_grace * kDrainPartOfGrace);
+      options.stop_grace * kDrainShareOfGrace);
   HttpClientOptions client;
   client.silence_limit = platform::kSilenceLimit;
   const auto http = std::make_shared<HttpClient>(io, client);
   const auto log = std::make_shared<LogSink>(ToHostOptions(options).log);
   return std::make_shared<platform::RowStore>(
-      rows, HttpCallOn(http), [log](const std::string& text) {
+      rows, HttpCallOn(http), [log](const std::string& message) {
         const auto now = std::chrono::steady_clock::now().time_since_epoch();
         log->Write(TimePoint(std::chrono::duration_cast<Duration>(now)),
-                   {LogLevel::kWarning, "store", text});
+                   {LogLevel::kWarning, "store", message});
       });
 }
 
-// The shell's calls to the platform go to `store`, if there is one.
+// Routes the shell's platform requests to `store`, unless it is null.
 template <typename Store>
-void UseStore(const std::shared_ptr<Store>& store, HostHooks& hooks) {
+void SetPlatformHook(const std::shared_ptr<Store>& store, HostHooks& hooks) {
   if (!store) return;
   hooks.platform = [store](const PlatformRequest& request,
                            std::function<void(PlatformReply)> done) {
@@ -173,15 +179,15 @@
 }
 
 struct RunResult {
-  int exit_code = kExitFailed;
-  uint64_t restart_above = 0;  // as Host::restart_above
+  int exit_code = kExitFailure;
+  uint64_t restart_above = 0;  // see Host::restart_above
 };
 
 RunResult RunOnce(const DaemonOptions& options) {
   asio::io_context io(1);
   HostHooks hooks;
-  UseStore(MakeRowStore(io, options), hooks);
-  UseStore(MakePlatform(io, options), hooks);
+  SetPlatformHook(MakeRowStore(io, options), hooks);
+  SetPlatformHook(MakePlatformBridge(io, options), hooks);
   hooks.make_reducer = [&options](const HostPorts& ports) {
     return MakeReducer(options, ports);
   };
@@ -189,7 +195,7 @@
   host.HandleSignals();
   host.Start();
   io.run();
-  return {host.exited() ? kExitDone : kExitFailed, host.restart_above()};
+  return {host.exited() ? kExitSuccess : kExitFailure, host.restart_above()};
 }
 
 int Run(DaemonOptions options) {
@@ -205,9 +211,9 @@
   ParsedOptions parsed = ParseDaemonOptions(
       argc, argv,
       [](const char* name) -> const char* { return std::getenv(name); });
-  if (!parsed.text.empty()) {
-    std::cout << parsed.text;
-    return kExitDone;
+  if (!parsed.help_text.empty()) {
+    std::cout << parsed.help_text;
+    return kExitSuccess;
   }
   for (const std::string& error : parsed.errors) {
     std::cerr << "amaranthd: " << error << "\n";
@@ -222,7 +228,7 @@
     return Run(parsed.options);
   } catch (const std::exception& error) {
     std::cerr << "amaranthd: " << error.what() << "\n";
-    return kExitFailed;
+    return kExitFailure;
   }
 }
 
@@ -230,7 +236,8 @@
 }  // namespace amaranth::pvt
 
 int main(int argc, char** argv) {
-  // A log collector that ends would end the node with its next line.
+  // Otherwise the first log line written after the log collector exits would
+  // kill the node.
   std::signal(SIGPIPE, SIG_IGN);
   return amaranth::pvt::Main(argc, argv);
 }
--- a/src/amaranthd/options.cc
+++ b/src/amaranthd/options.cc
@@ -15,86 +15,93 @@
 
 constexpr const char* kVersionText = "amaranthd 0.1.0\n";
 
-// A body is held once as it came and once more in the frame or the request that
-// passes it on. Twice this share leaves a tenth of the limit for all else: 16
-// MB on a host of 160, where a node under load takes 15 to 20
-// (docs/PERFORMANCE.md).
-constexpr double kMemoryForBodies = 0.45;
+// Share of the memory limit that buffered bodies may use. Each body is held
+// twice: as received and in the frame or request that forwards it. Both copies
+// together leave a tenth of the limit for everything else: 16 MB with a limit
+// of 160 MB, where a node under load uses 15 to 20 MB (docs/PERFORMANCE.md).
+constexpr double kBodyShareOfMemory = 0.45;
 
 struct Flag {
   const char* group;
   const char* name;
-  const char* fallback;
+  const char* default_value;
   const char* placeholder;
   const char* help;
 };
 
 constexpr std::array<Flag, 35> kFlags = {{
     {"Identity", "node-name", "", "NAME",
-     "name of this node, unique in the fleet"},
+     "name of this node; must be unique in the fleet"},
     {"Identity", "fleet", "default", "NAME",
-     "fleet; nodes of another are ignored"},
+     "name of the fleet; nodes of other fleets are ignored"},
     {"Identity", "mesh", "default", "NAME", "mesh whose settings apply"},
     {"Identity", "region", "local", "NAME", "region of the data centre"},
     {"Identity", "data-centre", "", "NAME", "data centre of this host"},
     {"Network", "ip", "127.0.0.1", "IP",
-     "IP number to listen on and to tell peers"},
-    {"Network", "caller-port", "0", "PORT", "HTTP from callers; 0 takes any"},
+     "IP address to listen on and to advertise to peers"},
+    {"Network", "caller-port", "0", "PORT",
+     "HTTP port for callers; 0 picks a free port"},
     {"Network", "operator-port", "0", "PORT",
-     "HTTP from operators; 0 takes any"},
-    {"Network", "peer-port", "0", "PORT", "TCP from other nodes; 0 takes any"},
+     "HTTP port for operators; 0 picks a free port"},
+    {"Network", "peer-port", "0", "PORT",
+     "TCP port for other nodes; 0 picks a free port"},
     {"Network", "gossip-port", "0", "PORT",
-     "UDP from other nodes; 0 takes any"},
+     "UDP port for other nodes; 0 picks a free port"},
     {"Network", "announce-port", "", "PORT",
-     "HTTP from this host's backend servers alone, for their announcements; "
-     "they come to the callers' port if empty"},
-    {"Network", "seeds", "", "IP:PORT,...", "gossip addresses of some nodes"},
+     "HTTP port only for announcements of this host's backend servers; if "
+     "empty, they use the callers' port"},
+    {"Network", "seeds", "", "IP:PORT,...",
+     "gossip addresses of existing nodes to contact first"},
     {"Platform", "platform-table", "", "IP:PORT",
-     "table service; none if empty"},
+     "address of the table service; not used if empty"},
     {"Platform", "platform-objects", "", "IP:PORT",
-     "object store; none if empty"},
+     "address of the object store; not used if empty"},
     {"Platform", "platform-access-key", "", "KEY",
-     "better given by the environment"},
+     "access key; preferably set in the environment"},
     {"Platform", "platform-secret-key", "", "KEY",
-     "better given by the environment"},
+     "secret key; preferably set in the environment"},
     {"Platform", "rows", "", "IP:PORT",
-     "store of rows, in the place of both: operators write settings there"},
+     "address of the row store, used instead of the table service and object "
+     "store; operators write settings there"},
     {"Deployment", "server-service", "", "NAME",
-     "service of this host's backend server, with --rows"},
+     "service of this host's backend server; required with --rows"},
     {"Deployment", "announce-period", "500ms", "TIME",
-     "how often a backend server announces itself"},
+     "interval at which a backend server announces itself"},
     {"Deployment", "drain", "0s", "TIME",
-     "how long a leaving backend server takes calls; 0 for as long as it runs"},
+     "how long a leaving backend server accepts calls; 0 for no limit"},
     {"Deployment", "stop-grace", "0s", "TIME",
-     "a stopping node is ended by force after this; 0 for never"},
+     "time after which a stopping node is killed; 0 for never"},
     {"Deployment", "retry-ratio", "0", "SHARE",
-     "retries of all nodes per request of a service; 0 leaves each node its "
-     "own"},
+     "retries of all nodes per request of a service; 0 lets each node use its "
+     "own ratio"},
     {"Deployment", "retry-slack", "0", "N",
-     "retries of all nodes in a window on top of the ratio"},
-    {"Deployment", "retry-window", "10s", "TIME", "window in which both hold"},
+     "retries of all nodes per window in addition to the ratio"},
+    {"Deployment", "retry-window", "10s", "TIME",
+     "length of the sliding window for the retry ratio and slack"},
     {"Limits", "max-body-bytes", "8388608", "N",
-     "largest body of a request or answer"},
+     "maximum size of a request or answer body"},
     {"Limits", "max-buffered-bytes", "67108864", "N",
-     "all bodies held at one time"},
+     "maximum total size of the bodies held at one time"},
     {"Limits", "memory-limit-mb", "0", "N",
-     "memory of this process; bodies held at one time stay under 45 in 100 of "
-     "it, but may be as large as the largest body; 0 for no bound"},
+     "memory of this process; limits the bodies held at one time to 45 % of "
+     "it, but not below the maximum body size; 0 for no limit"},
     {"Operation", "operator-token", "", "TOKEN",
-     "asked of operators for changes"},
+     "token that operators must send with changes"},
     {"Operation", "log-level", "info", "LEVEL",
      "debug, info, warning or error"},
     {"Operation", "log-format", "text", "FORMAT",
-     "text or json (one object a line)"},
+     "text or json (one object per line)"},
     {"Operation", "ports-file", "", "FILE",
-     "write the bound ports there as JSON"},
-    {"Operation", "record", "", "FILE", "write every event there, for replay"},
-    {"Operation", "random-seed", "0", "N", "0 takes the incarnation"},
-    {"Operation", "help", "", "", "print this and end"},
-    {"Operation", "version", "", "", "print the version and end"},
+     "file to which the bound ports are written as JSON"},
+    {"Operation", "record", "", "FILE",
+     "file to which every event is written, for replay"},
+    {"Operation", "random-seed", "0", "N",
+     "seed for random numbers; 0 uses the incarnation"},
+    {"Operation", "help", "", "", "print this help and exit"},
+    {"Operation", "version", "", "", "print the version and exit"},
 }};
 
-std::string VariableOf(const std::string& flag) {
+std::string VariableName(const std::string& flag) {
   std::string name = "AMARANTH_" + flag;
   std::transform(name.begin(), name.end(), name.begin(), [](unsigned char c) {
     return c == '-' ? '_' : static_cast<char>(std::toupper(c));
@@ -104,12 +111,13 @@
 
 bool IsSwitch(const Flag& flag) { return *flag.placeholder == '\0'; }
 
-cxxopts::Options Describe() {
-  cxxopts::Options options("amaranthd", "The node of amaranthroute.");
+cxxopts::Options MakeParser() {
+  cxxopts::Options options("amaranthd", "Runs an amaranthroute node.");
   for (const Flag& flag : kFlags) {
     std::string help = flag.help;
-    if (!IsSwitch(flag)) help += " [" + VariableOf(flag.name) + "]";
-    if (*flag.fallback != '\0') help += std::string(" (") + flag.fallback + ")";
+    if (!IsSwitch(flag)) help += " [" + VariableName(flag.name) + "]";
+    if (*flag.default_value != '\0')
+      help += std::string(" (") + flag.default_value + ")";
     const auto value = IsSwitch(flag)
                            ? cxxopts::value<bool>()
                            : std::static_pointer_cast<cxxopts::Value>(
@@ -119,15 +127,15 @@
   return options;
 }
 
-std::vector<std::string> Split(const std::string& text) {
-  std::vector<std::string> parts;
+std::vector<std::string> SplitAtCommas(const std::string& text) {
+  std::vector<std::string> addresses;
   size_t start = 0;
   while (start < text.size()) {
     const size_t comma = std::min(text.find(',', start), text.size());
-    parts.push_back(text.substr(start, comma - start));
+    addresses.push_back(text.substr(start, comma - start));
     start = comma + 1;
   }
-  return parts;
+  return addresses;
 }
 
 bool IsIp(const std::string& text) {
@@ -136,52 +144,60 @@
   return !error;
 }
 
-// Reads one flag after the other and gathers what is wrong with any.
-class Reader {
+// Reads and validates individual flags, and collects an error for each invalid
+// one.
+class FlagReader {
  public:
-  Reader(const cxxopts::ParseResult& given, const Environment& environment,
-         std::vector<std::string>& errors)
-      : given_(given), environment_(environment), errors_(errors) {}
+  FlagReader(const cxxopts::ParseResult& parse_result,
+             const Environment& environment, std::vector<std::string>& errors)
+      : parse_result_(parse_result),
+        environment_(environment),
+        errors_(errors) {}
 
   std::string Text(const std::string& flag) {
-    if (given_.count(flag) > 0) return given_[flag].as<std::string>();
-    const char* variable = environment_(VariableOf(flag).c_str());
+    if (parse_result_.count(flag) > 0)
+      return parse_result_[flag].as<std::string>();
+    const char* variable = environment_(VariableName(flag).c_str());
     if (variable != nullptr) return variable;
     const auto entry =
         std::find_if(kFlags.begin(), kFlags.end(),
                      [&](const Flag& known) { return known.name == flag; });
-    return entry->fallback;
+    return entry->default_value;
   }
 
-  // A name travels in headers, keys and log lines.
+  // Names are used in headers, keys and log lines, so only safe characters are
+  // allowed.
   std::string Name(const std::string& flag) {
     std::string text = Text(flag);
-    const bool clean = std::all_of(text.begin(), text.end(), [](char c) {
+    const bool valid = std::all_of(text.begin(), text.end(), [](char c) {
       return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' ||
              c == '_' || c == '.';
     });
     if (text.empty()) {
-      Fail(flag, "is missing");
-    } else if (!clean || text.size() > kMaxNameBytes) {
-      Fail(flag, "takes up to 100 letters, digits, '-', '_' and '.', not '" +
-                     text + "'");
+      AddError(flag, "is missing");
+    } else if (!valid || text.size() > kMaxNameBytes) {
+      AddError(flag,
+               "must be up to 100 letters, digits, '-', '_' and '.', not '" +
+                   text + "'");
     }
     return text;
   }
 
   std::string Ip(const std::string& flag) {
     std::string text = Text(flag);
-    if (!IsIp(text)) Fail(flag, "takes an IP number, not '" + text + "'");
+    if (!IsIp(text))
+      AddError(flag, "must be an IP address, not '" + text + "'");
     return text;
   }
 
-  // "PORT", or "IP:PORT" as deployments name the addresses of a host.
+  // Accepts "PORT" and also "IP:PORT", the form in which deployments give the
+  // addresses of a host. The IP part is ignored.
   uint16_t Port(const std::string& flag) {
     const std::string text = Text(flag);
     const std::optional<uint16_t> port = ParseNumber<uint16_t>(
         std::string_view(text).substr(text.rfind(':') + 1));
     if (!port) {
-      Fail(flag, "takes a port (0 to 65535), not '" + text + "'");
+      AddError(flag, "must be a port (0 to 65535), not '" + text + "'");
     }
     return port.value_or(0);
   }
@@ -189,7 +205,8 @@
   Duration Time(const std::string& flag) {
     const Outcome<Duration> time = ParseDuration(Text(flag));
     if (time) return time.value();
-    Fail(flag, "takes a time such as 500ms or 2.5s: " + time.error().message);
+    AddError(flag,
+             "must be a time such as 500ms or 2.5s: " + time.error().message);
     return Duration(0);
   }
 
@@ -197,7 +214,7 @@
     const std::string text = Text(flag);
     const std::optional<double> share = ParseNumber<double>(text);
     if (!share || !(*share >= 0 && *share <= 1)) {
-      Fail(flag, "takes a share from 0 to 1, not '" + text + "'");
+      AddError(flag, "must be a number from 0 to 1, not '" + text + "'");
     }
     return share.value_or(0);
   }
@@ -206,28 +223,28 @@
     return ReadNumber<uint64_t>(flag, "a whole number");
   }
 
-  uint64_t Positive(const std::string& flag) {
+  uint64_t PositiveNumber(const std::string& flag) {
     const size_t errors_before = errors_.size();
     const uint64_t number = Number(flag);
     const bool read = errors_.size() == errors_before;
-    if (read && number == 0) Fail(flag, "must be more than 0");
+    if (read && number == 0) AddError(flag, "must be greater than 0");
     return number;
   }
 
   Endpoint Address(const std::string& flag) {
-    return ToAddress(flag, Text(flag));
+    return ParseAddress(flag, Text(flag));
   }
 
   std::vector<Endpoint> Addresses(const std::string& flag) {
     std::vector<Endpoint> all;
-    for (const std::string& part : Split(Text(flag))) {
-      all.push_back(ToAddress(flag, part));
+    for (const std::string& address : SplitAtCommas(Text(flag))) {
+      all.push_back(ParseAddress(flag, address));
     }
     return all;
   }
 
-  void Fail(const std::string& flag, const std::string& what) {
-    errors_.push_back("--" + flag + " (" + VariableOf(flag) + ") " + what);
+  void AddError(const std::string& flag, const std::string& what) {
+    errors_.push_back("--" + flag + " (" + VariableName(flag) + ") " + what);
   }
 
  private:
@@ -238,11 +255,11 @@
     const std::string text = Text(flag);
     const std::optional<T> number = ParseNumber<T>(text);
     if (!number)
-      Fail(flag, std::string("takes ") + what + ", not '" + text + "'");
+      AddError(flag, std::string("must be ") + what + ", not '" + text + "'");
     return number.value_or(0);
   }
 
-  Endpoint ToAddress(const std::string& flag, const std::string& text) {
+  Endpoint ParseAddress(const std::string& flag, const std::string& text) {
     const size_t colon = text.rfind(':');
     const std::string ip = text.substr(0, colon);
     const std::optional<uint16_t> port =
@@ -250,18 +267,18 @@
             ? std::nullopt
             : ParseNumber<uint16_t>(std::string_view(text).substr(colon + 1));
     if (!IsIp(ip) || port.value_or(0) == 0) {
-      Fail(flag, "takes IP:PORT, not '" + text + "'");
+      AddError(flag, "must be IP:PORT, not '" + text + "'");
       return {};
     }
     return {ip, *port};
   }
 
-  const cxxopts::ParseResult& given_;
+  const cxxopts::ParseResult& parse_result_;
   const Environment& environment_;
   std::vector<std::string>& errors_;
 };
 
-void ReadIdentity(Reader& reader, NodeIdentity& identity) {
+void ReadIdentity(FlagReader& reader, NodeIdentity& identity) {
   identity.node.name = reader.Name("node-name");
   identity.fleet = reader.Name("fleet");
   identity.mesh = reader.Name("mesh");
@@ -269,22 +286,23 @@
   identity.data_centre = reader.Name("data-centre");
   identity.seeds = reader.Addresses("seeds");
   identity.operator_token = reader.Text("operator-token");
-  identity.max_body_bytes = reader.Positive("max-body-bytes");
-  identity.max_buffered_bytes = reader.Positive("max-buffered-bytes");
+  identity.max_body_bytes = reader.PositiveNumber("max-body-bytes");
+  identity.max_buffered_bytes = reader.PositiveNumber("max-buffered-bytes");
   identity.random_seed = reader.Number("random-seed");
   if (identity.max_buffered_bytes < identity.max_body_bytes) {
-    reader.Fail("max-buffered-bytes", "must not be under --max-body-bytes");
+    reader.AddError("max-buffered-bytes",
+                    "must not be less than --max-body-bytes");
   }
   const uint64_t memory = reader.Number("memory-limit-mb") << 20;
   if (memory == 0) return;
-  const uint64_t for_bodies =
-      static_cast<uint64_t>(static_cast<double>(memory) * kMemoryForBodies);
+  const uint64_t body_bytes =
+      static_cast<uint64_t>(static_cast<double>(memory) * kBodyShareOfMemory);
   identity.max_buffered_bytes =
       std::min(identity.max_buffered_bytes,
-               std::max(for_bodies, identity.max_body_bytes));
+               std::max(body_bytes, identity.max_body_bytes));
 }
 
-void ReadNetwork(Reader& reader, DaemonOptions& options) {
+void ReadNetwork(FlagReader& reader, DaemonOptions& options) {
   options.ip = reader.Ip("ip");
   options.caller_port = reader.Port("caller-port");
   options.operator_port = reader.Port("operator-port");
@@ -292,13 +310,14 @@
   options.gossip_port = reader.Port("gossip-port");
 }
 
-std::optional<PlatformSetup> ReadPlatform(Reader& reader) {
+std::optional<PlatformSetup> ReadPlatform(FlagReader& reader) {
   const bool table = !reader.Text("platform-table").empty();
   const bool objects = !reader.Text("platform-objects").empty();
   if (!table && !objects) return std::nullopt;
   if (!table || !objects) {
-    reader.Fail(table ? "platform-objects" : "platform-table",
-                "is missing: the platform needs both addresses");
+    reader.AddError(table ? "platform-objects" : "platform-table",
+                    "is missing: the table service and the object store must "
+                    "be set together");
     return std::nullopt;
   }
   PlatformSetup setup;
@@ -309,18 +328,18 @@
   return setup;
 }
 
-// Backend servers that miss four announcements in a row are gone.
+// A backend server that misses this many announcements in a row is removed.
 constexpr int kMissedAnnouncements = 4;
 
-// Half of the drain is for calls that are queued when it begins, the other half
-// for those that run then.
-constexpr int kDrainShare = 2;
+// The drain time is split in two halves: the first for calls that are queued
+// when the drain begins, the second for calls that run by then.
+constexpr int kDrainPhases = 2;
 
-void ReadDeployment(Reader& reader, DaemonOptions& options) {
+void ReadDeployment(FlagReader& reader, DaemonOptions& options) {
   DeploymentRules& rules = options.identity.rules;
   options.stop_grace = reader.Time("stop-grace");
   rules.server_lease = reader.Time("announce-period") * kMissedAnnouncements;
-  rules.drain_limit = reader.Time("drain") / kDrainShare;
+  rules.drain_limit = reader.Time("drain") / kDrainPhases;
   rules.fleet_retry_ratio = reader.Share("retry-ratio");
   rules.fleet_retry_slack = static_cast<uint32_t>(reader.Number("retry-slack"));
   rules.fleet_retry_window = reader.Time("retry-window");
@@ -335,32 +354,34 @@
   rules.ids_name_sendings = true;
   rules.callers_repeat = true;
   rules.admit_at_edge = true;
-  // Callers hear within two seconds that this node is not ready. Calls that
-  // others send meanwhile end within the grace, as nearly all take less than
-  // the rest of it.
+  // Callers learn within two seconds that this node is not ready. Calls that
+  // other nodes send during the delay finish within the stop grace, because
+  // nearly all of them take less than the rest of it.
   rules.leave_delay = std::chrono::milliseconds(1200);
-  // A deployment of this kind has tens of nodes, not 1,600.
+  // Such a deployment has tens of nodes rather than 1,600, so the spread can be
+  // shorter than the default.
   rules.peer_row_spread = std::chrono::seconds(1);
 }
 
-void ReadOperation(Reader& reader, DaemonOptions& options) {
+void ReadOperation(FlagReader& reader, DaemonOptions& options) {
   const std::string level = reader.Text("log-level");
   const std::optional<LogLevel> parsed = ParseLogLevel(level);
   if (!parsed) {
-    reader.Fail("log-level",
-                "takes debug, info, warning or error, not '" + level + "'");
+    reader.AddError(
+        "log-level",
+        "must be debug, info, warning or error, not '" + level + "'");
   }
   options.log_level = parsed.value_or(LogLevel::kInfo);
   const std::string format = reader.Text("log-format");
   if (format != "text" && format != "json") {
-    reader.Fail("log-format", "takes text or json, not '" + format + "'");
+    reader.AddError("log-format", "must be text or json, not '" + format + "'");
   }
   options.log_format = format == "json" ? LogFormat::kJson : LogFormat::kText;
   options.ports_file = reader.Text("ports-file");
   options.record_file = reader.Text("record");
 }
 
-void ReadAll(Reader& reader, DaemonOptions& options) {
+void ReadOptions(FlagReader& reader, DaemonOptions& options) {
   ReadIdentity(reader, options.identity);
   ReadNetwork(reader, options);
   options.platform = ReadPlatform(reader);
@@ -375,23 +396,23 @@
 ParsedOptions ParseDaemonOptions(int argc, const char* const* argv,
                                  const Environment& environment) {
   ParsedOptions parsed;
-  cxxopts::Options described = Describe();
+  cxxopts::Options parser = MakeParser();
   try {
-    const cxxopts::ParseResult given = described.parse(argc, argv);
-    if (given.count("help") > 0) {
-      parsed.text = described.help({"Identity", "Network", "Platform",
-                                    "Deployment", "Limits", "Operation"});
+    const cxxopts::ParseResult parse_result = parser.parse(argc, argv);
+    if (parse_result.count("help") > 0) {
+      parsed.help_text = parser.help({"Identity", "Network", "Platform",
+                                      "Deployment", "Limits", "Operation"});
       return parsed;
     }
-    if (given.count("version") > 0) {
-      parsed.text = kVersionText;
+    if (parse_result.count("version") > 0) {
+      parsed.help_text = kVersionText;
       return parsed;
     }
-    for (const std::string& stray : given.unmatched()) {
-      parsed.errors.push_back("'" + stray + "' is not a flag");
+    for (const std::string& argument : parse_result.unmatched()) {
+      parsed.errors.push_back("unexpected argument '" + argument + "'");
     }
-    Reader reader(given, environment, parsed.errors);
-    ReadAll(reader, parsed.options);
+    FlagReader reader(parse_result, environment, parsed.errors);
+    ReadOptions(reader, parsed.options);
   } catch (const cxxopts::exceptions::exception& error) {
     parsed.errors.emplace_back(error.what());
   }
--- a/src/amaranthd/options.h
+++ b/src/amaranthd/options.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_AMARANTHD_OPTIONS_H_
 #define AMARANTHROUTE_AMARANTHD_OPTIONS_H_
 
-// The node's flags and AMARANTH_* environment variables, checked at start.
+// Command-line flags and AMARANTH_* environment variables of the node,
+// validated at startup.
 
 #include <cstdint>
 #include <functional>
@@ -15,6 +16,7 @@
 
 namespace amaranth::pvt {
 
+// Addresses and credentials of the table service and the object store.
 struct PlatformSetup {
   Endpoint table;
   Endpoint objects;
@@ -23,7 +25,8 @@
 };
 
 struct DaemonOptions {
-  // Without the addresses, which are known when the ports are bound.
+  // Without peer_address and gossip_address, which are known only after the
+  // ports are bound.
   NodeIdentity identity;
   std::string ip;
   uint16_t caller_port = 0;
@@ -32,7 +35,8 @@
   uint16_t gossip_port = 0;
   std::optional<uint16_t> announce_port;
   std::optional<PlatformSetup> platform;
-  // The users' store of rows; with it their platform's words are spoken.
+  // Address of the users' row store. If set, the node uses the HTTP conventions
+  // of their platform.
   std::optional<Endpoint> rows;
   std::string server_service;
   Duration stop_grace{0};
@@ -44,14 +48,17 @@
 
 struct ParsedOptions {
   DaemonOptions options;
-  std::vector<std::string> errors;  // every one, so that one start shows all
-  std::string text;                 // --help or --version: print this and end
+  // All errors found, so that one start reports all of them.
+  std::vector<std::string> errors;
+  // Set by --help and --version: the text to print before exiting.
+  std::string help_text;
 };
 
-// An environment variable's value, or null.
+// Returns the value of an environment variable, or null if it is not set.
 using Environment = std::function<const char*(const char* name)>;
 
-// A flag wins over its variable: --node-name over AMARANTH_NODE_NAME.
+// Parses and validates all options. A flag overrides its environment variable,
+// for example --node-name overrides AMARANTH_NODE_NAME.
 ParsedOptions ParseDaemonOptions(int argc, const char* const* argv,
                                  const Environment& environment);
 
--- a/src/amaranthd/options_test.cc
+++ b/src/amaranthd/options_test.cc
@@ -18,7 +18,8 @@
         });
   }
 
-  static bool Names(const ParsedOptions& parsed, const std::string& flag) {
+  static bool HasErrorFor(const ParsedOptions& parsed,
+                          const std::string& flag) {
     for (const std::string& error : parsed.errors) {
       if (error.find("--" + flag + " ") != std::string::npos) return true;
     }
@@ -26,7 +27,7 @@
   }
 };
 
-TEST(Options, FlagsAndVariablesTogether) {
+TEST(Options, FlagsOverrideEnvironmentVariables) {
   variables = {{"AMARANTH_NODE_NAME", "from-variable"},
                {"AMARANTH_DATA_CENTRE", "dc1"},
                {"AMARANTH_PLATFORM_SECRET_KEY", "secret"}};
@@ -34,8 +35,8 @@
       Parse({"--node-name", "n1", "--seeds", "10.0.0.1:7,[::1]:8,::1:8",
              "--platform-table", "127.0.0.1:5", "--platform-objects",
              "127.0.0.1:6", "--log-format=json"});
-  CHECK_EQUAL(1u, parsed.errors.size());  // [::1] is no IP number
-  CHECK(Names(parsed, "seeds"));
+  CHECK_EQUAL(1u, parsed.errors.size());  // [::1] is not an IP address
+  CHECK(HasErrorFor(parsed, "seeds"));
   CHECK(parsed.options.identity.node.name == "n1");
   CHECK(parsed.options.identity.data_centre == "dc1");
   CHECK((parsed.options.identity.seeds[0] == Endpoint{"10.0.0.1", 7}));
@@ -45,22 +46,23 @@
   CHECK(parsed.options.log_format == LogFormat::kJson);
 }
 
-// The node is killed for its memory while callers send large bodies: what it
-// may hold of them was set for hosts with more memory.
-TEST(Options, BodiesHeldStayWithinTheMemoryOfTheProcess) {
-  const auto held = [this](const char* limit) {
+// Guards against the node being killed for exceeding its memory limit while
+// callers send large bodies: the default buffer limit assumes a host with more
+// memory.
+TEST(Options, MemoryLimitBoundsBufferedBodies) {
+  const auto max_buffered_bytes_with = [this](const char* limit) {
     return Parse({"--node-name", "n1", "--data-centre", "d", "--max-body-bytes",
                   "1000000", "--max-buffered-bytes", "100000000",
                   "--memory-limit-mb", limit})
         .options.identity.max_buffered_bytes;
   };
-  CHECK_EQUAL(100'000'000u, held("0"));
-  CHECK_EQUAL(100'000'000u, held("500"));
-  CHECK_EQUAL(75'497'472u, held("160"));
-  CHECK_EQUAL(1'000'000u, held("1"));
+  CHECK_EQUAL(100'000'000u, max_buffered_bytes_with("0"));
+  CHECK_EQUAL(100'000'000u, max_buffered_bytes_with("500"));
+  CHECK_EQUAL(75'497'472u, max_buffered_bytes_with("160"));
+  CHECK_EQUAL(1'000'000u, max_buffered_bytes_with("1"));
 }
 
-TEST(Options, EveryErrorIsNamedAtOnce) {
+TEST(Options, AllErrorsAreReportedTogether) {
   const ParsedOptions parsed =
       Parse({"--node-name", "bad name", "--ip", "localhost", "--caller-port",
              "70000", "--platform-table", "127.0.0.1:5", "--log-level", "loud",
@@ -68,22 +70,22 @@
   for (const char* flag :
        {"node-name", "data-centre", "ip", "caller-port", "platform-objects",
         "log-level", "max-body-bytes", "max-buffered-bytes"}) {
-    CHECK_TEXT(Names(parsed, flag), flag);
+    CHECK_TEXT(HasErrorFor(parsed, flag), flag);
   }
   CHECK_EQUAL(8u, parsed.errors.size());
 }
 
-TEST(Options, UnknownFlagAndStrayWordAreErrors) {
+TEST(Options, UnknownFlagsAndExtraArgumentsAreErrors) {
   CHECK(!Parse({"--no-such-flag"}).errors.empty());
   CHECK(!Parse({"--node-name", "n", "--data-centre", "d", "stray"})
              .errors.empty());
 }
 
-TEST(Options, HelpNamesEachVariable) {
+TEST(Options, HelpListsEnvironmentVariables) {
   const ParsedOptions parsed = Parse({"--help"});
   CHECK(parsed.errors.empty());
-  CHECK(parsed.text.find("AMARANTH_OPERATOR_TOKEN") != std::string::npos);
-  CHECK(parsed.text.find("Platform") != std::string::npos);
+  CHECK(parsed.help_text.find("AMARANTH_OPERATOR_TOKEN") != std::string::npos);
+  CHECK(parsed.help_text.find("Platform") != std::string::npos);
 }
 
 }  // namespace amaranth::pvt
