--- a/src/amaranthctl/command.cc
+++ b/src/amaranthctl/command.cc
@@ -9,15 +9,15 @@
 namespace amaranth::pvt {
 namespace {
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
-struct Form {
+struct CommandSyntax {
   const char* name;
-  const char* verb;  // of settings; else empty
-  size_t least;      // arguments after name and verb
-  size_t most;
+  const char* subcommand;  // only for settings; otherwise empty
+  size_t min_arguments;    // number of arguments after the name and subcommand
+  size_t max_arguments;
   const char* usage;
-  Command (*build)(const CtlOptions& options, const Words& arguments);
+  Command (*build)(const CtlOptions& options, const Arguments& arguments);
 };
 
 std::string UrlEncoded(const std::string& text) {
@@ -35,20 +35,21 @@
   return encoded;
 }
 
-// The node calls the root "", which is awkward to type.
-std::string NodePath(const std::string& path) {
+// Converts "/", which operators type for the root, to the node's name for it,
+// "".
+std::string ToNodePath(const std::string& path) {
   return path == "/" ? std::string() : path;
 }
 
-Command Get(std::string target, View view) {
+Command MakeGet(std::string target, View view) {
   Command command;
   command.request.target = std::move(target);
   command.view = view;
   return command;
 }
 
-Command Post(std::string target, const nlohmann::json& body, View view,
-             const CtlOptions& options) {
+Command MakePost(std::string target, const nlohmann::json& body, View view,
+                 const CtlOptions& options) {
   Command command;
   command.request.method = "POST";
   command.request.target = std::move(target);
@@ -60,83 +61,85 @@
   command.request.body =
       Body(body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   command.view = view;
-  command.changes = true;
+  command.is_change = true;
   return command;
 }
 
-Command Change(const CtlOptions& options, const std::string& path,
-               const std::string& name, const nlohmann::json& value) {
+Command MakeSettingChange(const CtlOptions& options, const std::string& path,
+                          const std::string& name,
+                          const nlohmann::json& value) {
   nlohmann::json body = {
       {"changes",
-       {{{"path", NodePath(path)}, {"name", name}, {"value", value}}}},
+       {{{"path", ToNodePath(path)}, {"name", name}, {"value", value}}}},
       {"author", options.author}};
   if (options.expected_version) {
     body["expected_version"] = *options.expected_version;
   }
-  return Post("/settings", body, View::kChanged, options);
+  return MakePost("/settings", body, View::kChanged, options);
 }
 
-Command SettingsAt(const Words& arguments, View view) {
+Command MakeSettingsGet(const Arguments& arguments, View view) {
   const std::string path =
-      arguments.empty() ? std::string() : NodePath(arguments[0]);
-  Command command = Get("/settings?path=" + UrlEncoded(path), view);
+      arguments.empty() ? std::string() : ToNodePath(arguments[0]);
+  Command command = MakeGet("/settings?path=" + UrlEncoded(path), view);
   if (arguments.size() > 1) {
     command.setting = arguments[1];
   }
   return command;
 }
 
-Command Status(const CtlOptions&, const Words&) {
-  return Get("/status", View::kStatus);
+Command Status(const CtlOptions&, const Arguments&) {
+  return MakeGet("/status", View::kStatus);
 }
 
-Command Servers(const CtlOptions&, const Words&) {
-  return Get("/servers", View::kServers);
+Command Servers(const CtlOptions&, const Arguments&) {
+  return MakeGet("/servers", View::kServers);
 }
 
-Command SettingsGet(const CtlOptions&, const Words& arguments) {
-  return SettingsAt(arguments, View::kValues);
+Command SettingsGet(const CtlOptions&, const Arguments& arguments) {
+  return MakeSettingsGet(arguments, View::kValues);
 }
 
-Command SettingsExplain(const CtlOptions&, const Words& arguments) {
-  return SettingsAt(arguments, View::kExplainedValues);
+Command SettingsExplain(const CtlOptions&, const Arguments& arguments) {
+  return MakeSettingsGet(arguments, View::kExplainedValues);
 }
 
-Command SettingsSet(const CtlOptions& options, const Words& arguments) {
-  return Change(options, arguments[0], arguments[1], arguments[2]);
+Command SettingsSet(const CtlOptions& options, const Arguments& arguments) {
+  return MakeSettingChange(options, arguments[0], arguments[1], arguments[2]);
 }
 
-Command SettingsUnset(const CtlOptions& options, const Words& arguments) {
-  return Change(options, arguments[0], arguments[1], nullptr);
+Command SettingsUnset(const CtlOptions& options, const Arguments& arguments) {
+  return MakeSettingChange(options, arguments[0], arguments[1], nullptr);
 }
 
-Command SettingsHistory(const CtlOptions&, const Words&) {
-  return Get("/settings/history", View::kHistory);
+Command SettingsHistory(const CtlOptions&, const Arguments&) {
+  return MakeGet("/settings/history", View::kHistory);
 }
 
-Command SettingsExport(const CtlOptions&, const Words&) {
-  return Get("/settings/tree", View::kRawJson);
+Command SettingsExport(const CtlOptions&, const Arguments&) {
+  return MakeGet("/settings/tree", View::kRawJson);
 }
 
-Command Histograms(const CtlOptions&, const Words&) {
-  return Get("/histograms", View::kHistograms);
+Command Histograms(const CtlOptions&, const Arguments&) {
+  return MakeGet("/histograms", View::kHistograms);
 }
 
-Command Explain(const CtlOptions&, const Words& arguments) {
-  return Get("/explain?request=" + UrlEncoded(arguments[0]), View::kRecords);
+Command Explain(const CtlOptions&, const Arguments& arguments) {
+  return MakeGet("/explain?request=" + UrlEncoded(arguments[0]),
+                 View::kRecords);
 }
 
-Command Events(const CtlOptions& options, const Words&) {
-  return Get("/events?since_us=" + std::to_string(options.since_us) +
-                 "&limit=" + std::to_string(options.limit),
-             View::kRecords);
+Command Events(const CtlOptions& options, const Arguments&) {
+  return MakeGet("/events?since_us=" + std::to_string(options.since_us) +
+                     "&limit=" + std::to_string(options.limit),
+                 View::kRecords);
 }
 
-Command Drain(const CtlOptions& options, const Words&) {
-  return Post("/drain", nlohmann::json::object(), View::kDraining, options);
+Command Drain(const CtlOptions& options, const Arguments&) {
+  return MakePost("/drain", nlohmann::json::object(), View::kDraining, options);
 }
 
-constexpr std::array<Form, 12> kForms = {{
+constexpr std::array<CommandSyntax, 12> kCommandSyntaxes = {{
     {"status", "", 0, 0, "status", Status},
     {"servers", "", 0, 0, "servers", Servers},
     {"settings", "get", 0, 2, "settings get [PATH [NAME]]", SettingsGet},
@@ -151,39 +154,45 @@
     {"drain", "", 0, 0, "drain", Drain},
 }};
 
-bool HasVerb(const Form& form) { return *form.verb != '\0'; }
+bool HasSubcommand(const CommandSyntax& syntax) {
+  return *syntax.subcommand != '\0';
+}
 
-bool Matches(const Form& form, const Words& words) {
-  return words[0] == form.name &&
-         (!HasVerb(form) || (words.size() > 1 && words[1] == form.verb));
+bool Matches(const CommandSyntax& syntax, const Arguments& positionals) {
+  return positionals[0] == syntax.name &&
+         (!HasSubcommand(syntax) ||
+          (positionals.size() > 1 && positionals[1] == syntax.subcommand));
 }
 
-Error Usage(std::string what) {
+Error UsageError(std::string what) {
   return Error{ErrorCode::kInvalid, std::move(what)};
 }
 
 }  // namespace
 
 Outcome<Command> BuildCommand(const CtlOptions& options) {
-  const Words& words = options.words;
-  if (words.empty()) {
-    return Usage("a command is missing; see --help");
+  const Arguments& positionals = options.positionals;
+  if (positionals.empty()) {
+    return UsageError("missing command; see --help");
   }
-  for (const Form& form : kForms) {
-    if (!Matches(form, words)) {
+  for (const CommandSyntax& syntax : kCommandSyntaxes) {
+    if (!Matches(syntax, positionals)) {
       continue;
     }
-    const ptrdiff_t used = HasVerb(form) ? 2 : 1;
-    const Words arguments(words.begin() + used, words.end());
-    if (arguments.size() < form.least || arguments.size() > form.most) {
-      return Usage(std::string("usage: amaranthctl ") + form.usage);
+    const ptrdiff_t name_count = HasSubcommand(syntax) ? 2 : 1;
+    const Arguments arguments(positionals.begin() + name_count,
+                              positionals.end());
+    if (arguments.size() < syntax.min_arguments ||
+        arguments.size() > syntax.max_arguments) {
+      return UsageError(std::string("usage: amaranthctl ") + syntax.usage);
     }
-    return form.build(options, arguments);
+    return syntax.build(options, arguments);
   }
-  if (words[0] == "settings") {
-    return Usage("settings takes get, explain, set, unset, history or export");
+  if (positionals[0] == "settings") {
+    return UsageError(
+        "settings needs one of get, explain, set, unset, history or export");
   }
-  return Usage("unknown command '" + words[0] + "'; see --help");
+  return UsageError("unknown command '" + positionals[0] + "'; see --help");
 }
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/command.h
+++ b/src/amaranthctl/command.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_COMMAND_H_
 #define AMARANTHROUTE_AMARANTHCTL_COMMAND_H_
 
-// What is asked of the node for a command.
+// Maps a command line to the HTTP request that is sent to the node.
 
 #include "amaranthctl/options.h"
 #include "amaranthroute/http.h"
@@ -9,7 +9,7 @@
 
 namespace amaranth::pvt {
 
-// How the node's answer is shown.
+// Determines how the node's answer is displayed.
 enum class View {
   kStatus,
   kServers,
@@ -26,13 +26,15 @@
 struct Command {
   HttpRequest request;
   View view = View::kStatus;
-  // settings get PATH NAME: the one setting asked for.
+  // Name of the setting to show (settings get PATH NAME); empty shows all.
   std::string setting;
-  // A lost answer leaves open whether it was done.
-  bool changes = false;
+  // Whether the request changes state. If its answer is lost, the outcome is
+  // unknown.
+  bool is_change = false;
 };
 
-// Errors: kInvalid with a sentence for the operator.
+// Builds the request for `options.positionals`. Errors: kInvalid, with a usage
+// message for the operator.
 Outcome<Command> BuildCommand(const CtlOptions& options);
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/main.cc
+++ b/src/amaranthctl/main.cc
@@ -15,13 +15,14 @@
     }
     return static_cast<int>(pvt::ExitCode::kUsage);
   }
-  if (!parsed.text.empty()) {
-    std::cout << parsed.text;
+  if (!parsed.help_text.empty()) {
+    std::cout << parsed.help_text;
     return static_cast<int>(pvt::ExitCode::kOk);
   }
   const pvt::CtlOptions& options = parsed.options;
-  const pvt::AskNode ask = [&options](const amaranth::HttpRequest& request) {
-    return pvt::AskNodeByHttp(options.node, request, options.timeout);
-  };
-  return static_cast<int>(pvt::RunCommand(options, ask, std::cout, std::cerr));
+  const pvt::SendRequest send =
+      [&options](const amaranth::HttpRequest& request) {
+        return pvt::SendHttpRequest(options.node, request, options.timeout);
+      };
+  return static_cast<int>(pvt::RunCommand(options, send, std::cout, std::cerr));
 }
--- a/src/amaranthctl/node_http.cc
+++ b/src/amaranthctl/node_http.cc
@@ -8,25 +8,25 @@
 namespace amaranth::pvt {
 namespace {
 
-// Some port may answer without end; an operator's shell must not run out of
-// memory over it.
-constexpr size_t kMaxAnswerBytes = 64u << 20;
+// Keeps amaranthctl from running out of memory if the program that listens on
+// the port sends an endless response.
+constexpr size_t kMaxBodyBytes = 64u << 20;
 
-struct Answer {
+struct ReceivedBody {
   std::string body;
   bool too_large = false;
 };
 
-using Handle = std::unique_ptr<CURL, decltype(&curl_easy_cleanup)>;
+using CurlHandle = std::unique_ptr<CURL, decltype(&curl_easy_cleanup)>;
 using HeaderLines = std::unique_ptr<curl_slist, decltype(&curl_slist_free_all)>;
 
-size_t TakeBytes(char* bytes, size_t size, size_t count, void* target) {
-  Answer& answer = *static_cast<Answer*>(target);
-  if (answer.body.size() + size * count > kMaxAnswerBytes) {
-    answer.too_large = true;
+size_t AppendBytes(char* bytes, size_t size, size_t count, void* target) {
+  ReceivedBody& received = *static_cast<ReceivedBody*>(target);
+  if (received.body.size() + size * count > kMaxBodyBytes) {
+    received.too_large = true;
     return 0;
   }
-  answer.body.append(bytes, size * count);
+  received.body.append(bytes, size * count);
   return size * count;
 }
 
@@ -39,7 +39,7 @@
   return lines;
 }
 
-std::string UrlOf(const Endpoint& node, const std::string& target) {
+std::string MakeUrl(const Endpoint& node, const std::string& target) {
   const bool is_ipv6 = node.ip.find(':') != std::string::npos;
   const std::string host = is_ipv6 ? "[" + node.ip + "]" : node.ip;
   return "http://" + host + ":" + std::to_string(node.port) + target;
@@ -55,35 +55,38 @@
   curl_easy_setopt(handle, CURLOPT_POSTFIELDS, request.body.view().data());
 }
 
-void SetUp(CURL* handle, const std::string& url,
-           std::chrono::milliseconds timeout, Answer& answer) {
+void SetTransferOptions(CURL* handle, const std::string& url,
+                        std::chrono::milliseconds timeout,
+                        ReceivedBody& received) {
   curl_easy_setopt(handle, CURLOPT_URL, url.c_str());
   curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
-  // A proxy from the environment would get the operators' token.
+  // Ignores proxies set in the environment: a proxy would see the operators'
+  // token.
   curl_easy_setopt(handle, CURLOPT_PROXY, "");
   curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS,
                    static_cast<long>(timeout.count()));
-  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, TakeBytes);
-  curl_easy_setopt(handle, CURLOPT_WRITEDATA, &answer);
+  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, AppendBytes);
+  curl_easy_setopt(handle, CURLOPT_WRITEDATA, &received);
 }
 
 }  // namespace
 
-Outcome<HttpResponse> AskNodeByHttp(const Endpoint& node,
-                                    const HttpRequest& request,
-                                    std::chrono::milliseconds timeout) {
-  const Handle handle(curl_easy_init(), curl_easy_cleanup);
+Outcome<HttpResponse> SendHttpRequest(const Endpoint& node,
+                                      const HttpRequest& request,
+                                      std::chrono::milliseconds timeout) {
+  const CurlHandle handle(curl_easy_init(), curl_easy_cleanup);
   if (!handle) {
-    return Error{ErrorCode::kUnavailable, "libcurl did not start"};
+    return Error{ErrorCode::kUnavailable, "cannot initialize libcurl"};
   }
-  Answer answer;
-  SetUp(handle.get(), UrlOf(node, request.target), timeout, answer);
+  ReceivedBody received;
+  SetTransferOptions(handle.get(), MakeUrl(node, request.target), timeout,
+                     received);
   SetBody(handle.get(), request);
   const HeaderLines lines = MakeHeaderLines(request);
   curl_easy_setopt(handle.get(), CURLOPT_HTTPHEADER, lines.get());
   const CURLcode result = curl_easy_perform(handle.get());
-  if (answer.too_large) {
-    return Error{ErrorCode::kTooLarge, "the answer is too long"};
+  if (received.too_large) {
+    return Error{ErrorCode::kTooLarge, "the response is longer than 64 MiB"};
   }
   if (result != CURLE_OK) {
     return Error{ErrorCode::kUnavailable, curl_easy_strerror(result)};
@@ -91,7 +94,7 @@
   long status = 0;
   curl_easy_getinfo(handle.get(), CURLINFO_RESPONSE_CODE, &status);
   return HttpResponse{
-      static_cast<int>(status), {}, Body(std::move(answer.body))};
+      static_cast<int>(status), {}, Body(std::move(received.body))};
 }
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/node_http.h
+++ b/src/amaranthctl/node_http.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_NODE_HTTP_H_
 #define AMARANTHROUTE_AMARANTHCTL_NODE_HTTP_H_
 
-// One HTTP request to a node's operators' port, by libcurl.
+// HTTP client for the operators' port of a node, based on libcurl.
 
 #include <chrono>
 
@@ -11,11 +11,12 @@
 
 namespace amaranth::pvt {
 
-// Errors: kUnavailable if no whole answer came in time; kTooLarge if it is
-// longer than an answer of a node can be.
-Outcome<HttpResponse> AskNodeByHttp(const Endpoint& node,
-                                    const HttpRequest& request,
-                                    std::chrono::milliseconds timeout);
+// Sends one request and waits for the response. Errors: kUnavailable if no
+// complete response arrives within `timeout`; kTooLarge if the body exceeds
+// 64 MiB.
+Outcome<HttpResponse> SendHttpRequest(const Endpoint& node,
+                                      const HttpRequest& request,
+                                      std::chrono::milliseconds timeout);
 
 }  // namespace amaranth::pvt
 
--- a/src/amaranthctl/options.cc
+++ b/src/amaranthctl/options.cc
@@ -15,64 +15,69 @@
 namespace {
 
 constexpr const char* kVersionText = "amaranthctl 0.1.0\n";
-constexpr const char* kWords = "words";
+constexpr const char* kPositionals = "words";
 
 constexpr const char* kCommands = R"(
  Commands:
-  status                        the node, its members and local servers
-  servers                       every backend server the node knows
-  settings get [PATH [NAME]]    values that apply at PATH
-  settings explain [PATH]       the same, with the level each comes from
+  status                        state of the node, members, local servers
+  servers                       all backend servers known to the node
+  settings get [PATH [NAME]]    values in effect at PATH
+  settings explain [PATH]       the same, with the path each value comes from
   settings set PATH NAME VALUE  set a value at PATH
-  settings unset PATH NAME      go back to what is inherited
-  settings history              versions, authors and their changes
-  settings export               the whole tree as JSON
-  histograms                    time to answer, per tenant, class and outcome
-  explain REQUEST-ID            why a request waited, went where it went, failed
-  events                        what the node decided lately
-  drain                         let the node finish its work and end
-  replay FILE                   drive a reducer with a log of amaranthd --record
+  settings unset PATH NAME      remove it, so that the inherited one applies
+  settings history              versions with their authors and changes
+  settings export               the complete settings tree as JSON
+  histograms                    response times by tenant, class and outcome
+  explain REQUEST-ID            queueing, routing and failure of one request
+  events                        recent decisions of the node
+  drain                         let the node finish its requests and exit
+  replay FILE                   replay a log written by amaranthd --record
 
   PATH is / (root), mesh, mesh/service, mesh/*/class or mesh/service/class.
 
  Exit codes:
-  0  done
-  1  refused by the node, or somebody else changed it first
-  2  wrong command line
-  3  no answer from the node, or none that can be read
-  4  the node is not ready (status), or cannot do this now
+  0  success
+  1  refused by the node, changed by somebody else first, unknown setting, or
+     replay differs from the log
+  2  invalid command line, or unreadable replay log
+  3  no response from the node, or an invalid one
+  4  the node is not ready (status), or cannot serve the request now
 
- Every option but help and version may be given as the variable in brackets.
+ All options except help and version can also be set by the environment
+ variable in brackets.
 )";
 
 struct Flag {
   const char* group;
   const char* name;
-  const char* fallback;
-  const char* placeholder;  // empty: a switch
+  const char* default_value;
+  const char* placeholder;  // empty for a switch
   const char* help;
 };
 
 constexpr std::array<Flag, 14> kFlags = {{
-    {"Node", "node", "", "IP:PORT", "operators' port of a node"},
-    {"Node", "token", "", "TOKEN", "for changes; better by the environment"},
-    {"Node", "timeout-ms", "10000", "MS", "longest wait for an answer"},
-    {"Output", "output", "table", "FORMAT", "table or json"},
-    {"Output", "plot", "false", "", "histograms: draw them as text"},
+    {"Node", "node", "", "IP:PORT", "address of a node's operators' port"},
+    {"Node", "token", "", "TOKEN",
+     "operators' token, for changes; preferably set in the environment"},
+    {"Node", "timeout-ms", "10000", "MS",
+     "maximum time to wait for the response"},
+    {"Output", "output", "table", "FORMAT", "output format: table or json"},
+    {"Output", "plot", "false", "", "histograms: also draw them as text"},
     {"Output", "trace", "false", "", "replay: print every event and effect"},
-    {"Filter", "service", "", "NAME", "servers: of this service only"},
-    {"Filter", "tenant", "", "NAME", "histograms: of this tenant only"},
-    {"Filter", "class", "", "NAME", "histograms: of this class only"},
+    {"Filter", "service", "", "NAME", "servers: only those of this service"},
+    {"Filter", "tenant", "", "NAME", "histograms: only those of this tenant"},
+    {"Filter", "class", "", "NAME", "histograms: only those of this class"},
     {"Filter", "since-us", "0", "US",
-     "events: from this moment of the node on"},
-    {"Filter", "limit", "200", "N", "events: the newest N"},
-    {"Change", "author", "amaranthctl", "NAME", "goes into the history"},
+     "events: only those since this time of the node's clock"},
+    {"Filter", "limit", "200", "N", "events: only the newest N"},
+    {"Change", "author", "amaranthctl", "NAME",
+     "author recorded in the history"},
     {"Change", "expected-version", "", "N",
-     "refuse if another version is in force"},
-    {"Program", "version", "false", "", "print the version and end"},
+     "refuse the change if another version is in force"},
+    {"Program", "version", "false", "", "print the version and exit"},
 }};
 
-std::string VariableOf(const std::string& flag) {
+std::string VariableName(const std::string& flag) {
   std::string name = "AMARANTH_" + flag;
   std::transform(name.begin(), name.end(), name.begin(), [](unsigned char c) {
     return c == '-' ? '_' : static_cast<char>(std::toupper(c));
@@ -82,34 +87,36 @@
 
 bool IsSwitch(const Flag& flag) { return *flag.placeholder == '\0'; }
 
-std::string HelpOf(const Flag& flag) {
+std::string FlagHelp(const Flag& flag) {
   std::string help = flag.help;
   if (flag.group != std::string_view("Program")) {
-    help += " [" + VariableOf(flag.name) + "]";
+    help += " [" + VariableName(flag.name) + "]";
   }
-  if (!IsSwitch(flag) && *flag.fallback != '\0') {
-    help += std::string(" (") + flag.fallback + ")";
+  if (!IsSwitch(flag) && *flag.default_value != '\0') {
+    help += std::string(" (") + flag.default_value + ")";
   }
   return help;
 }
 
-cxxopts::Options Describe() {
-  cxxopts::Options options("amaranthctl", "The operators' command.\n");
+cxxopts::Options MakeParser() {
+  cxxopts::Options options(
+      "amaranthctl",
+      "Command-line tool for operators of amaranthroute nodes.\n");
   options.custom_help("[OPTIONS...]");
   options.positional_help("COMMAND [ARGUMENTS...]");
   for (const Flag& flag : kFlags) {
     if (IsSwitch(flag)) {
-      options.add_options(flag.group)(flag.name, HelpOf(flag));
+      options.add_options(flag.group)(flag.name, FlagHelp(flag));
     } else {
-      options.add_options(flag.group)(flag.name, HelpOf(flag),
+      options.add_options(flag.group)(flag.name, FlagHelp(flag),
                                       cxxopts::value<std::string>(),
                                       flag.placeholder);
     }
   }
-  options.add_options("Program")("h,help", "print this and end");
-  options.add_options("hidden")(kWords, "",
+  options.add_options("Program")("h,help", "print this help and exit");
+  options.add_options("hidden")(kPositionals, "",
                                 cxxopts::value<std::vector<std::string>>());
-  options.parse_positional(kWords);
+  options.parse_positional(kPositionals);
   return options;
 }
 
@@ -118,46 +125,50 @@
          kCommands;
 }
 
-// Reads one flag after the other and gathers what is wrong with any.
-class Reader {
+// Reads and validates individual flags, and collects an error for each invalid
+// one.
+class FlagReader {
  public:
-  Reader(const cxxopts::ParseResult& given, const Environment& environment,
-         std::vector<std::string>& errors)
-      : given_(given), environment_(environment), errors_(errors) {}
+  FlagReader(const cxxopts::ParseResult& parse_result,
+             const Environment& environment, std::vector<std::string>& errors)
+      : parse_result_(parse_result),
+        environment_(environment),
+        errors_(errors) {}
 
   std::string Text(const std::string& flag) const {
-    if (given_.count(flag) > 0) {
-      return given_[flag].as<std::string>();
+    if (parse_result_.count(flag) > 0) {
+      return parse_result_[flag].as<std::string>();
     }
-    const char* variable = environment_(VariableOf(flag).c_str());
+    const char* variable = environment_(VariableName(flag).c_str());
     if (variable != nullptr) {
       return variable;
     }
-    const auto known =
-        std::find_if(kFlags.begin(), kFlags.end(),
-                     [&](const Flag& one) { return one.name == flag; });
-    return known->fallback;
+    const auto known = std::find_if(
+        kFlags.begin(), kFlags.end(),
+        [&](const Flag& candidate) { return candidate.name == flag; });
+    return known->default_value;
   }
 
   bool Switch(const std::string& flag) {
-    if (given_.count(flag) > 0) {
+    if (parse_result_.count(flag) > 0) {
       return true;
     }
-    const char* variable = environment_(VariableOf(flag).c_str());
+    const char* variable = environment_(VariableName(flag).c_str());
     const std::string text = variable == nullptr ? "false" : variable;
     if (text != "true" && text != "false") {
-      Fail(flag, "takes true or false, not '" + text + "'");
+      AddError(flag, "must be true or false, not '" + text + "'");
     }
     return text == "true";
   }
 
-  uint64_t Number(const std::string& flag, uint64_t least, uint64_t most) {
+  uint64_t Number(const std::string& flag, uint64_t minimum, uint64_t maximum) {
     const std::string text = Text(flag);
     const std::optional<uint64_t> number = ParseNumber<uint64_t>(text);
-    if (!number || *number < least || *number > most) {
-      Fail(flag, "takes a number from " + std::to_string(least) + " to " +
-                     std::to_string(most) + ", not '" + text + "'");
-      return least;
+    if (!number || *number < minimum || *number > maximum) {
+      AddError(flag, "must be a number from " + std::to_string(minimum) +
+                         " to " + std::to_string(maximum) + ", not '" + text +
+                         "'");
+      return minimum;
     }
     return *number;
   }
@@ -173,7 +184,7 @@
     asio::error_code error;
     asio::ip::make_address(ip, error);
     if (error || port == 0) {
-      Fail(flag, "takes IP:PORT, not '" + text + "'");
+      AddError(flag, "must be IP:PORT, not '" + text + "'");
       return {};
     }
     return {ip, port};
@@ -182,27 +193,27 @@
   Output Format(const std::string& flag) {
     const std::string text = Text(flag);
     if (text != "table" && text != "json") {
-      Fail(flag, "takes table or json, not '" + text + "'");
+      AddError(flag, "must be table or json, not '" + text + "'");
     }
     return text == "json" ? Output::kJson : Output::kTable;
   }
 
  private:
-  void Fail(const std::string& flag, const std::string& what) {
+  void AddError(const std::string& flag, const std::string& what) {
     errors_.push_back("--" + flag + " " + what);
   }
 
-  const cxxopts::ParseResult& given_;
+  const cxxopts::ParseResult& parse_result_;
   const Environment& environment_;
   std::vector<std::string>& errors_;
 };
 
-void Read(const cxxopts::ParseResult& given, const Environment& environment,
-          ParsedCtlOptions& parsed) {
-  constexpr uint64_t kMost = std::numeric_limits<int64_t>::max();
+void ReadOptions(const cxxopts::ParseResult& parse_result,
+                 const Environment& environment, ParsedCtlOptions& parsed) {
+  constexpr uint64_t kMaxInteger = std::numeric_limits<int64_t>::max();
   constexpr uint64_t kMaxTimeoutMs = 600'000;
   constexpr uint64_t kMaxRecords = 100'000;
-  Reader reader(given, environment, parsed.errors);
+  FlagReader reader(parse_result, environment, parsed.errors);
   CtlOptions& options = parsed.options;
   options.token = reader.Text("token");
   options.output = reader.Format("output");
@@ -210,20 +221,23 @@
       std::chrono::milliseconds(reader.Number("timeout-ms", 1, kMaxTimeoutMs));
   options.author = reader.Text("author");
   if (!reader.Text("expected-version").empty()) {
-    options.expected_version = reader.Number("expected-version", 0, kMost);
+    options.expected_version =
+        reader.Number("expected-version", 0, kMaxInteger);
   }
   options.service = reader.Text("service");
   options.tenant = reader.Text("tenant");
   options.request_class = reader.Text("class");
   options.plot = reader.Switch("plot");
   options.trace = reader.Switch("trace");
-  options.since_us = reader.Number("since-us", 0, kMost);
+  options.since_us = reader.Number("since-us", 0, kMaxInteger);
   options.limit = reader.Number("limit", 1, kMaxRecords);
-  if (given.count(kWords) > 0) {
-    options.words = given[kWords].as<std::vector<std::string>>();
+  if (parse_result.count(kPositionals) > 0) {
+    options.positionals =
+        parse_result[kPositionals].as<std::vector<std::string>>();
   }
-  const bool local = !options.words.empty() && options.words[0] == kReplayWord;
-  if (!local) options.node = reader.Address("node");
+  const bool is_local =
+      !options.positionals.empty() && options.positionals[0] == kReplayCommand;
+  if (!is_local) options.node = reader.Address("node");
 }
 
 }  // namespace
@@ -231,15 +245,15 @@
 ParsedCtlOptions ParseCtlOptions(int argc, const char* const* argv,
                                  const Environment& environment) {
   ParsedCtlOptions parsed;
-  cxxopts::Options options = Describe();
+  cxxopts::Options options = MakeParser();
   try {
-    const cxxopts::ParseResult given = options.parse(argc, argv);
-    if (given.count("help") > 0) {
-      parsed.text = HelpText(options);
-    } else if (given.count("version") > 0) {
-      parsed.text = kVersionText;
+    const cxxopts::ParseResult parse_result = options.parse(argc, argv);
+    if (parse_result.count("help") > 0) {
+      parsed.help_text = HelpText(options);
+    } else if (parse_result.count("version") > 0) {
+      parsed.help_text = kVersionText;
     } else {
-      Read(given, environment, parsed);
+      ReadOptions(parse_result, environment, parsed);
     }
   } catch (const cxxopts::exceptions::exception& error) {
     parsed.errors.emplace_back(error.what());
--- a/src/amaranthctl/options.h
+++ b/src/amaranthctl/options.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_OPTIONS_H_
 #define AMARANTHROUTE_AMARANTHCTL_OPTIONS_H_
 
-// The command line and environment of amaranthctl.
+// Command line and environment variables of amaranthctl.
 
 #include <chrono>
 #include <cstdint>
@@ -14,13 +14,18 @@
 
 namespace amaranth::pvt {
 
-// How the program ends; part of its interface.
+// Exit codes of the program; part of its interface.
 enum class ExitCode {
   kOk = 0,
-  kRefused = 1,       // the node refused, or somebody changed it first
-  kUsage = 2,         // wrong command line
-  kUnreachable = 3,   // no answer, or none that can be read
-  kNodeNotReady = 4,  // the node answers, but cannot do this now
+  // The node refused the request, the expected version was out of date, the
+  // requested setting does not exist, or a replay differed from its log.
+  kRefused = 1,
+  // Invalid command line, or a replay log that cannot be read.
+  kUsage = 2,
+  // No response from the node, or an invalid one.
+  kUnreachable = 3,
+  // The node responds, but is not ready or cannot serve the request now.
+  kNodeNotReady = 4,
 };
 
 enum class Output { kTable, kJson };
@@ -32,7 +37,7 @@
   std::chrono::milliseconds timeout{0};
   std::string author;
   std::optional<uint64_t> expected_version;
-  // Filters of what is shown; empty shows all.
+  // Filters for the output; empty shows all.
   std::string service;
   std::string tenant;
   std::string request_class;
@@ -40,18 +45,20 @@
   bool trace = false;
   uint64_t since_us = 0;
   uint64_t limit = 0;
-  std::vector<std::string> words;  // the command and its arguments
+  std::vector<std::string> positionals;  // command and its arguments
 };
 
 struct ParsedCtlOptions {
   CtlOptions options;
-  std::vector<std::string> errors;  // everything wrong, one sentence each
-  std::string text;                 // help or version: print it and end
+  std::vector<std::string> errors;  // all errors found, one sentence each
+  // Set by --help and --version: the text to print before exiting.
+  std::string help_text;
 };
 
-// Value of an environment variable, or null.
+// Returns the value of an environment variable, or null if it is not set.
 using Environment = std::function<const char*(const char*)>;
 
+// Parses and validates all options. A flag overrides its environment variable.
 ParsedCtlOptions ParseCtlOptions(int argc, const char* const* argv,
                                  const Environment& environment);
 
--- a/src/amaranthctl/options_test.cc
+++ b/src/amaranthctl/options_test.cc
@@ -20,7 +20,7 @@
   }
 };
 
-TEST(CtlOptions, FlagsGoBeforeVariablesAndDefaults) {
+TEST(CtlOptions, FlagsOverrideVariablesAndDefaults) {
   variables = {{"AMARANTH_NODE", "127.0.0.1:5"},
                {"AMARANTH_TOKEN", "secret"},
                {"AMARANTH_PLOT", "true"},
@@ -33,12 +33,12 @@
   CHECK(parsed.options.output == Output::kTable);
   CHECK(parsed.options.plot);
   CHECK(parsed.options.timeout == std::chrono::seconds(10));
-  CHECK(parsed.options.words ==
+  CHECK(parsed.options.positionals ==
         std::vector<std::string>({"settings", "get", "/"}));
   CHECK(!parsed.options.expected_version);
 }
 
-TEST(CtlOptions, EveryErrorIsNamedAtOnce) {
+TEST(CtlOptions, AllErrorsAreReportedTogether) {
   variables = {{"AMARANTH_PLOT", "maybe"}};
   const ParsedCtlOptions parsed = Parse(
       {"events", "--node", "localhost:1", "--output", "xml", "--limit", "0",
@@ -46,10 +46,10 @@
   CHECK_EQUAL(7u, parsed.errors.size());
 }
 
-TEST(CtlOptions, NodeNeedsAnIpNumberAndAPort) {
-  for (const char* bad : {"", "1.2.3.4", "1.2.3.4:0", "1.2.3.4:65536", ":80",
-                          "1.2.3.4:8x", "host:80"}) {
-    CHECK_EQUAL(1u, Parse({"status", "--node", bad}).errors.size());
+TEST(CtlOptions, NodeMustBeIpAddressAndPort) {
+  for (const char* invalid : {"", "1.2.3.4", "1.2.3.4:0", "1.2.3.4:65536",
+                              ":80", "1.2.3.4:8x", "host:80"}) {
+    CHECK_EQUAL(1u, Parse({"status", "--node", invalid}).errors.size());
   }
   CHECK_EQUAL(1u, Parse({"status"}).errors.size());
 }
@@ -59,14 +59,14 @@
   CHECK_EQUAL(1u, Parse({"status", "--node"}).errors.size());
 }
 
-TEST(CtlOptions, HelpNamesCommandsVariablesAndExitCodes) {
-  const std::string help = Parse({"--help"}).text;
+TEST(CtlOptions, HelpListsCommandsVariablesAndExitCodes) {
+  const std::string help = Parse({"--help"}).help_text;
   for (const char* part : {"settings unset PATH NAME", "[AMARANTH_NODE]",
                            "Exit codes:", "--expected-version"}) {
     CHECK(help.find(part) != std::string::npos);
   }
   CHECK(help.find("words") == std::string::npos);
-  CHECK(Parse({"--version"}).text == "amaranthctl 0.1.0\n");
+  CHECK(Parse({"--version"}).help_text == "amaranthctl 0.1.0\n");
 }
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/plot.h
+++ b/src/amaranthctl/plot.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_PLOT_H_
 #define AMARANTHROUTE_AMARANTHCTL_PLOT_H_
 
-// A histogram drawn with characters.
+// Draws a histogram as text.
 
 #include <cstdint>
 #include <string>
@@ -9,13 +9,15 @@
 
 namespace amaranth::pvt {
 
-// `count` answers took up to `le_us`, and more than the bucket before.
+// `count` values are at most `le_us` microseconds and greater than the bound of
+// the previous bucket.
 struct PlotBucket {
   int64_t le_us = 0;
   uint64_t count = 0;
 };
 
-// One line a bucket, in order; more than fit a screen are put together.
+// Returns one line per bucket, in the given order. Merges adjacent buckets to
+// at most 24 lines, so that the plot fits a screen.
 std::string PlotText(const std::vector<PlotBucket>& buckets);
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/render.h
+++ b/src/amaranthctl/render.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_RENDER_H_
 #define AMARANTHROUTE_AMARANTHCTL_RENDER_H_
 
-// The node's JSON answers as text for people.
+// Formats the node's JSON answers as text for operators.
 
 #include <string>
 
@@ -11,15 +11,18 @@
 
 namespace amaranth::pvt {
 
-// Errors: kInvalid if the answer is not what this view expects.
+// Formats `body`, the node's answer to `command`. Errors: kInvalid if it is not
+// a JSON object; kNotFound if it lacks the requested setting (only for table
+// output).
 Outcome<std::string> Render(const Command& command, const CtlOptions& options,
                             const std::string& body);
 
-// The sentence in the node's answer to a request that it refused.
+// Returns the messages in the node's answer to a refused request, or the whole
+// body if it has none.
 std::string RefusalText(const std::string& body);
 
-// Whether the answer to "status" says that the node is ready.
-bool SaysReady(const std::string& body);
+// Returns whether `body`, the answer to "status", reports the node as ready.
+bool IsReady(const std::string& body);
 
 }  // namespace amaranth::pvt
 
--- a/src/amaranthctl/render_test.cc
+++ b/src/amaranthctl/render_test.cc
@@ -10,8 +10,8 @@
 TEST_GROUP(CtlRender) {
   CtlOptions options;
 
-  std::string Show(View view, const std::string& body,
-                   const std::string& setting = "") {
+  std::string RenderText(View view, const std::string& body,
+                         const std::string& setting = "") {
     Command command;
     command.view = view;
     command.setting = setting;
@@ -40,8 +40,8 @@
 
 TEST(CtlRender, StatusShowsNodeMembersAndServers) {
   const std::string text =
-      Show(View::kStatus,
-           R"({"node":"n1","ready":true,"settings_version":4,
+      RenderText(View::kStatus,
+                 R"({"node":"n1","ready":true,"settings_version":4,
           "members":[{"node":"n1","state":"alive","data_centre":"dc1",
                       "servers":2}],
           "local_servers":[{"server":"s1","in_flight":3,"limit":10,
@@ -59,14 +59,14 @@
   const std::string body =
       R"({"servers":[{"server":"s1","service":"pay","draining":false},
                      {"server":"s2","service":"find","draining":true}]})";
-  CHECK(Show(View::kServers, body).find("s1") != std::string::npos);
+  CHECK(RenderText(View::kServers, body).find("s1") != std::string::npos);
   options.service = "find";
-  const std::string text = Show(View::kServers, body);
+  const std::string text = RenderText(View::kServers, body);
   CHECK(text.find("s1") == std::string::npos);
   CHECK(text.find("s2") != std::string::npos);
 }
 
-TEST(CtlRender, SettingsSayWhereTheyComeFrom) {
+TEST(CtlRender, SettingsShowTheirOrigin) {
   const std::string body =
       R"({"path":"m","settings":[
         {"name":"tier","value":"critical","origin":"m","is_default":false},
@@ -77,24 +77,24 @@
       "tier      critical  m\n"
       "deadline  9         /\n"
       "plain     1         default\n",
-      Show(View::kExplainedValues, body));
-  CheckText("critical\n", Show(View::kValues, body, "tier"));
-  CheckText("error: no setting is called 'tire'",
-            Show(View::kValues, body, "tire"));
+      RenderText(View::kExplainedValues, body));
+  CheckText("critical\n", RenderText(View::kValues, body, "tier"));
+  CheckText("error: unknown setting 'tire'",
+            RenderText(View::kValues, body, "tire"));
 }
 
-TEST(CtlRender, HistoryTellsUnsetFromSet) {
+TEST(CtlRender, HistoryDistinguishesUnsetFromSet) {
   CheckText(
       "VERSION  AUTHOR  PATH  NAME      VALUE\n"
       "      2  eva     /     tier      critical\n"
       "                 m     deadline  (unset)\n",
-      Show(View::kHistory,
-           R"({"history":[{"version":2,"author":"eva","changes":[
+      RenderText(View::kHistory,
+                 R"({"history":[{"version":2,"author":"eva","changes":[
                {"path":"","name":"tier","value":"critical"},
                {"path":"m","name":"deadline","value":null}]}]})"));
 }
 
-TEST(CtlRender, HistogramsAreFilteredAndDrawn) {
+TEST(CtlRender, HistogramsAreFilteredAndPlotted) {
   const std::string body =
       R"({"histograms":[
         {"tenant":"t","class":"pay","outcome":"ok","count":4,"p50_us":1000,
@@ -105,15 +105,15 @@
   const std::string table =
       "TENANT  CLASS  OUTCOME  COUNT  P50 MS  P90 MS  P99 MS  P99.9 MS\n"
       "t       pay    ok           4   1.000   2.000   2.500     2.500\n";
-  CheckText(table, Show(View::kHistograms, body));
+  CheckText(table, RenderText(View::kHistograms, body));
   options.plot = true;
   CheckText(table + "\nt / pay / ok\n<=      1.000 ms |" +
                 std::string(50, '#') + " 3\n<=      2.500 ms |" +
                 std::string(17, '#') + " 1\n",
-            Show(View::kHistograms, body));
+            RenderText(View::kHistograms, body));
 }
 
-TEST(CtlRender, PlotFoldsManyBucketsAndKeepsTheTailVisible) {
+TEST(CtlRender, PlotMergesBucketsAndKeepsTheTailVisible) {
   std::vector<PlotBucket> buckets;
   for (int64_t i = 1; i <= 100; ++i) {
     buckets.push_back({i * 1000, i == 100 ? 1u : 1000u});
@@ -126,57 +126,60 @@
         std::string::npos);
 }
 
-TEST(CtlRender, RecordsComeByTime) {
+TEST(CtlRender, RecordsAreSortedByTime) {
   CheckText(
       "    AT S    +MS  REQUEST  KIND   WHAT\n"
       "1.000000  0.000  r1       queue  waited\n"
       "1.002500  2.500  r1       shed   tier too low\n",
-      Show(View::kRecords,
-           R"({"records":[
+      RenderText(View::kRecords,
+                 R"({"records":[
              {"at_us":1002500,"request":"r1","kind":"shed",
               "text":"tier too low"},
              {"at_us":1000000,"request":"r1","kind":"queue",
               "text":"waited"}]})"));
-  CheckText("nothing recorded\n", Show(View::kRecords, R"({"records":[]})"));
+  CheckText("nothing recorded\n",
+            RenderText(View::kRecords, R"({"records":[]})"));
 }
 
-TEST(CtlRender, JsonPassesTheAnswerOn) {
+TEST(CtlRender, JsonOutputIsTheWholeAnswer) {
   options.output = Output::kJson;
-  CheckText("{\"records\":[]}\n", Show(View::kRecords, R"({"records": []})"));
+  CheckText("{\"records\":[]}\n",
+            RenderText(View::kRecords, R"({"records": []})"));
 }
 
-// Some other program listens on the port, or the node is of another version.
-// The operator must see an error or dashes, never a crash.
-TEST(CtlRender, StrangeAnswersAreErrorsOrDashes) {
-  for (const char* bad : {"", "<html>", "[]", "3", "{\"a\":"}) {
-    CheckText("error: the node's answer is not JSON", Show(View::kStatus, bad));
+// Guards against a crash if another program listens on the port or the node
+// runs another version. The operator must see an error or dashes.
+TEST(CtlRender, UnexpectedAnswersGiveErrorsOrDashes) {
+  for (const char* invalid : {"", "<html>", "[]", "3", "{\"a\":"}) {
+    CheckText("error: the node's answer is not a JSON object",
+              RenderText(View::kStatus, invalid));
   }
   for (const View view :
        {View::kStatus, View::kServers, View::kValues, View::kExplainedValues,
         View::kHistory, View::kHistograms, View::kRecords, View::kChanged}) {
-    for (const char* odd :
+    for (const char* unexpected :
          {"{}", R"({"members":3,"servers":"x","settings":{},"records":null})",
           R"({"history":[{"changes":[{}]}],"settings":[{"name":1}],
               "histograms":[{"buckets":[{"count":-3,"le_us":"x"}]}],
               "records":[{"at_us":"x","text":[]}]})"}) {
-      CHECK(Show(view, odd).find("error") == std::string::npos);
+      CHECK(RenderText(view, unexpected).find("error") == std::string::npos);
     }
   }
 }
 
-// Printing JSON goes by recursion: a body of a million brackets would end the
-// program by stack overflow instead of an answer.
-TEST(CtlRender, DeepAnswersAreCutOff) {
+// Guards against a stack overflow: the JSON library prints recursively, so a
+// body with a million nested brackets would crash the program.
+TEST(CtlRender, DeeplyNestedAnswersAreTruncated) {
   constexpr size_t kDepth = 1000000;
-  const std::string deep = "{\"version\":" + std::string(kDepth, '[') +
-                           std::string(kDepth, ']') + "}";
-  CHECK(Show(View::kChanged, deep).size() < 100);
-  CHECK(Show(View::kRawJson, deep).size() < 10000);
+  const std::string nested = "{\"version\":" + std::string(kDepth, '[') +
+                             std::string(kDepth, ']') + "}";
+  CHECK(RenderText(View::kChanged, nested).size() < 100);
+  CHECK(RenderText(View::kRawJson, nested).size() < 10000);
   options.output = Output::kJson;
-  CHECK(Show(View::kChanged, deep).size() < 100);
+  CHECK(RenderText(View::kChanged, nested).size() < 100);
 }
 
-TEST(CtlRender, RefusalsShowTheNodesSentence) {
+TEST(CtlRender, RefusalsShowTheNodesMessage) {
   CheckText("a; b", RefusalText(R"({"errors":["a","b"]})"));
   CheckText("lost the race",
             RefusalText(R"({"error":"conflict","message":"lost the race"})"));
--- a/src/amaranthctl/replay.cc
+++ b/src/amaranthctl/replay.cc
@@ -8,8 +8,8 @@
 namespace amaranth::pvt {
 namespace {
 
-void Show(const ReplayReport& report, const CtlOptions& options,
-          std::ostream& out) {
+void PrintReport(const ReplayReport& report, const CtlOptions& options,
+                 std::ostream& out) {
   if (options.output == Output::kJson) {
     const nlohmann::ordered_json json = {
         {"events", report.events},
@@ -20,7 +20,7 @@
     return;
   }
   out << report.events << " events, " << report.effects << " effects, "
-      << report.differing << " with other effects than recorded";
+      << report.differing << " with effects that differ from the log";
   if (report.differing > 0)
     out << ", first at line " << report.first_difference;
   out << "\n";
@@ -30,13 +30,13 @@
 
 ExitCode RunReplay(const CtlOptions& options, std::ostream& out,
                    std::ostream& err) {
-  if (options.words.size() != 2) {
+  if (options.positionals.size() != 2) {
     err << "amaranthctl: usage: replay FILE\n";
     return ExitCode::kUsage;
   }
-  std::ifstream log(options.words[1]);
+  std::ifstream log(options.positionals[1]);
   if (!log) {
-    err << "amaranthctl: cannot read " << options.words[1] << "\n";
+    err << "amaranthctl: cannot read " << options.positionals[1] << "\n";
     return ExitCode::kUsage;
   }
   const Outcome<ReplayReport> report =
@@ -45,7 +45,7 @@
     err << "amaranthctl: " << report.error() << "\n";
     return ExitCode::kUsage;
   }
-  Show(report.value(), options, out);
+  PrintReport(report.value(), options, out);
   return report.value().differing == 0 ? ExitCode::kOk : ExitCode::kRefused;
 }
 
--- a/src/amaranthctl/replay.h
+++ b/src/amaranthctl/replay.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_REPLAY_H_
 #define AMARANTHROUTE_AMARANTHCTL_REPLAY_H_
 
-// `replay FILE`: drives a fresh reducer with a recorded log, without any node.
+// Implements `replay FILE`, which drives a new reducer with the events of a
+// recorded log. It needs no running node.
 
 #include <ostream>
 
@@ -9,10 +10,10 @@
 
 namespace amaranth::pvt {
 
-inline constexpr const char* kReplayWord = "replay";
+inline constexpr const char* kReplayCommand = "replay";
 
-// kOk if every event had its recorded effects, kRefused if not, kUsage if the
-// file cannot be read as a log.
+// Returns kOk if every event had its recorded effects, kRefused if any
+// differed, and kUsage if the command line or the log is invalid.
 ExitCode RunReplay(const CtlOptions& options, std::ostream& out,
                    std::ostream& err);
 
--- a/src/amaranthctl/replay_test.cc
+++ b/src/amaranthctl/replay_test.cc
@@ -18,7 +18,7 @@
 
   void teardown() override { std::remove(path.c_str()); }
 
-  void WriteLog(uint64_t added_to_digest) {
+  void WriteLog(uint64_t digest_offset) {
     NodeIdentity identity;
     identity.node = {"n1", 1};
     identity.use_platform = false;
@@ -27,32 +27,32 @@
     log << FormatIdentity(identity, FromMicros(0)) << "\n";
     node.Start(FromMicros(0));
     const Event event{FromMicros(1000), StopRequested{}};
-    log << FormatEvent(event, DigestOf(node.Reduce(event)) + added_to_digest)
+    log << FormatEvent(event, DigestOf(node.Reduce(event)) + digest_offset)
         << "\n";
   }
 
-  ExitCode RunOn(const std::vector<std::string>& words) {
+  ExitCode RunWith(const std::vector<std::string>& positionals) {
     CtlOptions options;
-    options.words = words;
+    options.positionals = positionals;
     return RunReplay(options, out, err);
   }
 };
 
-TEST(Replay, ALogOfTheSameBuildReplaysWhole) {
+TEST(Replay, LogOfTheSameBuildReplaysWithoutDifference) {
   WriteLog(0);
-  CHECK(RunOn({"replay", path}) == ExitCode::kOk);
+  CHECK(RunWith({"replay", path}) == ExitCode::kOk);
   CHECK(out.str().find("1 events") == 0);
 }
 
-TEST(Replay, OtherEffectsAreNamedByLine) {
+TEST(Replay, FirstDifferenceIsReportedByLine) {
   WriteLog(1);
-  CHECK(RunOn({"replay", path}) == ExitCode::kRefused);
+  CHECK(RunWith({"replay", path}) == ExitCode::kRefused);
   CHECK(out.str().find("first at line 2") != std::string::npos);
 }
 
-TEST(Replay, AMissingFileIsAUsageError) {
-  CHECK(RunOn({"replay", path}) == ExitCode::kUsage);
-  CHECK(RunOn({"replay"}) == ExitCode::kUsage);
+TEST(Replay, MissingFileIsAUsageError) {
+  CHECK(RunWith({"replay", path}) == ExitCode::kUsage);
+  CHECK(RunWith({"replay"}) == ExitCode::kUsage);
 }
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/run.cc
+++ b/src/amaranthctl/run.cc
@@ -6,30 +6,32 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr int kFirstFailure = 300;
-constexpr int kFirstSuccess = 200;
-constexpr int kUnavailable = 503;
+constexpr int kFirstNonSuccessStatus = 300;
+constexpr int kFirstSuccessStatus = 200;
+constexpr int kServiceUnavailable = 503;
 
-ExitCode Refused(const HttpResponse& response, std::ostream& err) {
+ExitCode ReportRefusal(const HttpResponse& response, std::ostream& err) {
   err << "amaranthctl: the node refused (" << response.status
       << "): " << RefusalText(std::string(response.body.view())) << "\n";
-  return response.status == kUnavailable ? ExitCode::kNodeNotReady
-                                         : ExitCode::kRefused;
+  return response.status == kServiceUnavailable ? ExitCode::kNodeNotReady
+                                                : ExitCode::kRefused;
 }
 
-// A change whose answer was lost may be in force; "not done" would be a guess.
-ExitCode Unreachable(const Command& command, const Error& error,
-                     std::ostream& err) {
-  err << "amaranthctl: no answer from the node: " << error << "\n";
-  if (command.changes) {
-    err << "amaranthctl: whether it was done is unknown; look at "
-           "'settings history' or 'status' before trying again\n";
+// Warns if the request was a change: it may have taken effect although its
+// answer was lost, so it must not be reported as failed.
+ExitCode ReportUnreachable(const Command& command, const Error& error,
+                           std::ostream& err) {
+  err << "amaranthctl: no response from the node: " << error << "\n";
+  if (command.is_change) {
+    err << "amaranthctl: the outcome of the change is unknown; check "
+           "'settings history' or 'status' before retrying\n";
   }
   return ExitCode::kUnreachable;
 }
 
-ExitCode Show(const Command& command, const CtlOptions& options,
-              const std::string& body, std::ostream& out, std::ostream& err) {
+ExitCode PrintAnswer(const Command& command, const CtlOptions& options,
+                     const std::string& body, std::ostream& out,
+                     std::ostream& err) {
   const Outcome<std::string> text = Render(command, options, body);
   if (!text) {
     err << "amaranthctl: " << text.error() << "\n";
@@ -37,15 +39,16 @@
                                                      : ExitCode::kUnreachable;
   }
   out << text.value();
-  const bool not_ready = command.view == View::kStatus && !SaysReady(body);
+  const bool not_ready = command.view == View::kStatus && !IsReady(body);
   return not_ready ? ExitCode::kNodeNotReady : ExitCode::kOk;
 }
 
 }  // namespace
 
-ExitCode RunCommand(const CtlOptions& options, const AskNode& ask,
+ExitCode RunCommand(const CtlOptions& options, const SendRequest& send,
                     std::ostream& out, std::ostream& err) {
-  if (!options.words.empty() && options.words[0] == kReplayWord) {
+  if (!options.positionals.empty() &&
+      options.positionals[0] == kReplayCommand) {
     return RunReplay(options, out, err);
   }
   const Outcome<Command> command = BuildCommand(options);
@@ -53,16 +56,16 @@
     err << "amaranthctl: " << command.error() << "\n";
     return ExitCode::kUsage;
   }
-  const Outcome<HttpResponse> response = ask(command.value().request);
+  const Outcome<HttpResponse> response = send(command.value().request);
   if (!response) {
-    return Unreachable(command.value(), response.error(), err);
+    return ReportUnreachable(command.value(), response.error(), err);
   }
   const int status = response.value().status;
-  if (status < kFirstSuccess || status >= kFirstFailure) {
-    return Refused(response.value(), err);
+  if (status < kFirstSuccessStatus || status >= kFirstNonSuccessStatus) {
+    return ReportRefusal(response.value(), err);
   }
-  return Show(command.value(), options,
-              std::string(response.value().body.view()), out, err);
+  return PrintAnswer(command.value(), options,
+                     std::string(response.value().body.view()), out, err);
 }
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/run.h
+++ b/src/amaranthctl/run.h
@@ -1,7 +1,8 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_RUN_H_
 #define AMARANTHROUTE_AMARANTHCTL_RUN_H_
 
-// One run of the command, free of sockets: tests hand in the node's answer.
+// Runs one command. The request is sent by a function parameter, so that tests
+// can supply the node's response.
 
 #include <functional>
 #include <ostream>
@@ -13,11 +14,13 @@
 
 namespace amaranth::pvt {
 
-// Sends a request to the node; an Error means that no whole answer came.
-using AskNode =
+// Sends a request to the node. Returns an error if no complete response
+// arrives.
+using SendRequest =
     std::function<Outcome<HttpResponse>(const HttpRequest& request)>;
 
-ExitCode RunCommand(const CtlOptions& options, const AskNode& ask,
+// Runs the command in `options`. Writes the result to `out`, errors to `err`.
+ExitCode RunCommand(const CtlOptions& options, const SendRequest& send,
                     std::ostream& out, std::ostream& err);
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/run_test.cc
+++ b/src/amaranthctl/run_test.cc
@@ -13,13 +13,14 @@
 
 using asio::ip::tcp;
 
-// Answers one connection with fixed bytes, after the request's headers came.
-class OneAnswer {
+// Accepts one connection and sends fixed bytes after it received the request's
+// headers.
+class SingleResponseServer {
  public:
-  explicit OneAnswer(const std::string& answer)
+  explicit SingleResponseServer(const std::string& answer)
       : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}),
         thread_([this, answer] { Serve(answer); }) {}
-  ~OneAnswer() { Join(); }
+  ~SingleResponseServer() { Join(); }
 
   Endpoint address() const {
     return {"127.0.0.1", acceptor_.local_endpoint().port()};
@@ -49,32 +50,32 @@
 TEST_GROUP(CtlRun) {
   CtlOptions options;
   HttpResponse response;
-  bool lost = false;
-  HttpRequest asked;
+  bool response_lost = false;
+  HttpRequest sent_request;
   std::ostringstream out;
   std::ostringstream err;
 
-  ExitCode Run(std::vector<std::string> words) {
-    options.words = std::move(words);
-    asked = HttpRequest{"", "", {}, {}};
-    const AskNode ask =
+  ExitCode Run(std::vector<std::string> positionals) {
+    options.positionals = std::move(positionals);
+    sent_request = HttpRequest{"", "", {}, {}};
+    const SendRequest send =
         [this](const HttpRequest& request) -> Outcome<HttpResponse> {
-      asked = request;
-      if (lost) {
+      sent_request = request;
+      if (response_lost) {
         return Error{ErrorCode::kUnavailable, "timeout"};
       }
       return response;
     };
-    return RunCommand(options, ask, out, err);
+    return RunCommand(options, send, out, err);
   }
 
-  void Answer(int status, const std::string& body) {
+  void SetResponse(int status, const std::string& body) {
     response = HttpResponse{status, {}, Body(body)};
   }
 };
 
-TEST(CtlRun, CommandsAskForTheRightThing) {
-  Answer(200, R"({"ready":true,"settings":[]})");
+TEST(CtlRun, CommandsRequestTheRightTarget) {
+  SetResponse(200, R"({"ready":true,"settings":[]})");
   options.since_us = 5;
   options.limit = 7;
   const std::vector<std::pair<std::vector<std::string>, std::string>> cases = {
@@ -88,37 +89,37 @@
       {{"histograms"}, "/histograms"},
       {{"explain", "a&b=\xc3\xa9"}, "/explain?request=a%26b%3D%C3%A9"},
       {{"events"}, "/events?since_us=5&limit=7"}};
-  for (const auto& [words, target] : cases) {
-    CHECK(Run(words) == ExitCode::kOk);
-    STRCMP_EQUAL(target.c_str(), asked.target.c_str());
-    STRCMP_EQUAL("GET", asked.method.c_str());
+  for (const auto& [positionals, target] : cases) {
+    CHECK(Run(positionals) == ExitCode::kOk);
+    STRCMP_EQUAL(target.c_str(), sent_request.target.c_str());
+    STRCMP_EQUAL("GET", sent_request.method.c_str());
   }
 }
 
-TEST(CtlRun, ChangesCarryAuthorVersionAndToken) {
+TEST(CtlRun, ChangesSendAuthorVersionAndToken) {
   options.author = "eva";
   options.token = "secret";
   options.expected_version = 3;
-  Answer(200, R"({"version":4})");
+  SetResponse(200, R"({"version":4})");
   CHECK(Run({"settings", "set", "/", "tier", "critical"}) == ExitCode::kOk);
   STRCMP_EQUAL("version 4 is in force\n", out.str().c_str());
-  STRCMP_EQUAL("POST", asked.method.c_str());
-  CHECK(FindHeader(asked.headers, "Authorization") == "Bearer secret");
-  CHECK(asked.body.view() ==
+  STRCMP_EQUAL("POST", sent_request.method.c_str());
+  CHECK(FindHeader(sent_request.headers, "Authorization") == "Bearer secret");
+  CHECK(sent_request.body.view() ==
         R"({"author":"eva","changes":[{"name":"tier","path":"",)"
         R"("value":"critical"}],"expected_version":3})");
   options.expected_version.reset();
   CHECK(Run({"settings", "unset", "m/s", "tier"}) == ExitCode::kOk);
-  CHECK(asked.body.view() ==
+  CHECK(sent_request.body.view() ==
         R"({"author":"eva","changes":[{"name":"tier","path":"m/s",)"
         R"("value":null}]})");
-  Answer(202, R"({"draining":true})");
+  SetResponse(202, R"({"draining":true})");
   CHECK(Run({"drain"}) == ExitCode::kOk);
-  STRCMP_EQUAL("/drain", asked.target.c_str());
+  STRCMP_EQUAL("/drain", sent_request.target.c_str());
 }
 
-TEST(CtlRun, WrongCommandsAskNothing) {
-  const std::vector<std::vector<std::string>> wrong = {
+TEST(CtlRun, InvalidCommandsSendNothing) {
+  const std::vector<std::vector<std::string>> invalid = {
       {},
       {"statsu"},
       {"status", "x"},
@@ -127,32 +128,33 @@
       {"settings", "set", "/", "tier"},
       {"settings", "get", "a", "b", "c"},
       {"explain"}};
-  for (const std::vector<std::string>& words : wrong) {
-    CHECK(Run(words) == ExitCode::kUsage);
-    CHECK(asked.target.empty());
+  for (const std::vector<std::string>& positionals : invalid) {
+    CHECK(Run(positionals) == ExitCode::kUsage);
+    CHECK(sent_request.target.empty());
   }
 }
 
-TEST(CtlRun, ExitCodesTellWhatHappened) {
-  Answer(409, R"({"error":"conflict","message":"version 9 is in force"})");
+TEST(CtlRun, ExitCodesReportTheResult) {
+  SetResponse(409, R"({"error":"conflict","message":"version 9 is in force"})");
   CHECK(Run({"settings", "unset", "/", "tier"}) == ExitCode::kRefused);
   CHECK(err.str().find("version 9 is in force") != std::string::npos);
-  Answer(401, R"({"error":"the operators' token is missing"})");
+  SetResponse(401, R"({"error":"the operators' token is missing"})");
   CHECK(Run({"drain"}) == ExitCode::kRefused);
-  Answer(503, R"({"error":"platform"})");
+  SetResponse(503, R"({"error":"platform"})");
   CHECK(Run({"settings", "unset", "/", "tier"}) == ExitCode::kNodeNotReady);
-  Answer(200, R"({"ready":false})");
+  SetResponse(200, R"({"ready":false})");
   CHECK(Run({"status"}) == ExitCode::kNodeNotReady);
-  Answer(200, "<html>");
+  SetResponse(200, "<html>");
   CHECK(Run({"status"}) == ExitCode::kUnreachable);
-  Answer(200, R"({"settings":[]})");
+  SetResponse(200, R"({"settings":[]})");
   CHECK(Run({"settings", "get", "/", "tire"}) == ExitCode::kRefused);
 }
 
-// The answer to a change is lost. "Failed" would be a guess: the operator is
-// told that the outcome is unknown. A read that is lost changes nothing.
-TEST(CtlRun, LostAnswersOfChangesAreCalledUnknown) {
-  lost = true;
+// If the answer to a change is lost, the change may have taken effect, so the
+// operator must be told that the outcome is unknown. A lost answer to a read
+// has no such effect.
+TEST(CtlRun, LostAnswerOfAChangeIsReportedAsUnknown) {
+  response_lost = true;
   CHECK(Run({"status"}) == ExitCode::kUnreachable);
   CHECK(err.str().find("unknown") == std::string::npos);
   CHECK(Run({"settings", "unset", "/", "tier"}) == ExitCode::kUnreachable);
@@ -161,30 +163,33 @@
 
 TEST_GROUP(CtlHttp){};
 
-TEST(CtlHttp, RequestAndAnswerPassWhole) {
-  OneAnswer node(
+TEST(CtlHttp, RequestAndResponseAreTransferredWhole) {
+  SingleResponseServer node(
       "HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\nConnection: close\r\n\r\n"
       "taken");
   HttpRequest request{"POST", "/settings?a=%20", {{"X-One", "1"}}, Body("{}")};
   const Outcome<HttpResponse> answer =
-      AskNodeByHttp(node.address(), request, std::chrono::seconds(10));
+      SendHttpRequest(node.address(), request, std::chrono::seconds(10));
   CHECK(answer.has_value());
   CHECK_EQUAL(409, answer.value().status);
   CHECK(answer.value().body.view() == "taken");
-  const std::string sent = node.Join();
-  CHECK(sent.find("POST /settings?a=%20 HTTP/1.1\r\n") == 0);
-  CHECK(sent.find("X-One: 1\r\n") != std::string::npos);
-  CHECK(sent.find("Content-Length: 2\r\n") != std::string::npos);
+  const std::string sent_text = node.Join();
+  CHECK(sent_text.find("POST /settings?a=%20 HTTP/1.1\r\n") == 0);
+  CHECK(sent_text.find("X-One: 1\r\n") != std::string::npos);
+  CHECK(sent_text.find("Content-Length: 2\r\n") != std::string::npos);
 }
 
-TEST(CtlHttp, TruncatedAnswersAndClosedPortsAreErrors) {
-  Endpoint gone;
+TEST(CtlHttp, TruncatedResponsesAndClosedPortsAreErrors) {
+  Endpoint closed_address;
   {
-    OneAnswer node("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
-    gone = node.address();
-    CHECK(!AskNodeByHttp(gone, HttpRequest(), std::chrono::seconds(10)));
+    SingleResponseServer node(
+        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
+    closed_address = node.address();
+    CHECK(!SendHttpRequest(closed_address, HttpRequest(),
+                           std::chrono::seconds(10)));
   }
-  CHECK(!AskNodeByHttp(gone, HttpRequest(), std::chrono::seconds(10)));
+  CHECK(!SendHttpRequest(closed_address, HttpRequest(),
+                         std::chrono::seconds(10)));
 }
 
 }  // namespace amaranth::pvt
--- a/src/amaranthctl/table.cc
+++ b/src/amaranthctl/table.cc
@@ -6,33 +6,33 @@
 namespace amaranth::pvt {
 namespace {
 
-constexpr const char* kGap = "  ";
+constexpr const char* kColumnSeparator = "  ";
 
-std::string Padded(const std::string& cell, size_t width, bool right) {
-  const std::string space(width - cell.size(), ' ');
-  return right ? space + cell : cell + space;
+std::string Pad(const std::string& cell, size_t width, bool right_aligned) {
+  const std::string padding(width - cell.size(), ' ');
+  return right_aligned ? padding + cell : cell + padding;
 }
 
 }  // namespace
 
-Table::Table(std::vector<std::string> titles) {
-  for (std::string& title : titles) {
-    const bool right = !title.empty() && title[0] == '>';
-    right_.push_back(right);
-    if (right) {
-      title.erase(0, 1);
+Table::Table(std::vector<std::string> headings) {
+  for (std::string& heading : headings) {
+    const bool right_aligned = !heading.empty() && heading[0] == '>';
+    right_aligned_.push_back(right_aligned);
+    if (right_aligned) {
+      heading.erase(0, 1);
     }
   }
-  rows_.push_back(std::move(titles));
+  rows_.push_back(std::move(headings));
 }
 
 void Table::AddRow(std::vector<std::string> cells) {
-  cells.resize(right_.size());
+  cells.resize(right_aligned_.size());
   rows_.push_back(std::move(cells));
 }
 
 std::vector<size_t> Table::Widths() const {
-  std::vector<size_t> widths(right_.size(), 0);
+  std::vector<size_t> widths(right_aligned_.size(), 0);
   for (const std::vector<std::string>& row : rows_) {
     for (size_t i = 0; i < row.size(); ++i) {
       widths[i] = std::max(widths[i], row[i].size());
@@ -47,7 +47,8 @@
   for (const std::vector<std::string>& row : rows_) {
     std::string line;
     for (size_t i = 0; i < row.size(); ++i) {
-      line += (i > 0 ? kGap : "") + Padded(row[i], widths[i], right_[i]);
+      line += (i > 0 ? kColumnSeparator : "") +
+              Pad(row[i], widths[i], right_aligned_[i]);
     }
     line.erase(line.find_last_not_of(' ') + 1);
     text += line + "\n";
--- a/src/amaranthctl/table.h
+++ b/src/amaranthctl/table.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_AMARANTHCTL_TABLE_H_
 #define AMARANTHROUTE_AMARANTHCTL_TABLE_H_
 
-// A text table with aligned columns.
+// Formats a text table with aligned columns.
 
 #include <string>
 #include <vector>
@@ -10,8 +10,9 @@
 
 class Table {
  public:
-  // A title that starts with '>' marks a column aligned to the right.
-  explicit Table(std::vector<std::string> titles);
+  // A heading that starts with '>' marks a right-aligned column; the '>' is not
+  // shown.
+  explicit Table(std::vector<std::string> headings);
 
   void AddRow(std::vector<std::string> cells);
   std::string ToText() const;
@@ -19,8 +20,8 @@
  private:
   std::vector<size_t> Widths() const;
 
-  std::vector<bool> right_;
-  std::vector<std::vector<std::string>> rows_;  // titles first
+  std::vector<bool> right_aligned_;
+  std::vector<std::vector<std::string>> rows_;  // headings first
 };
 
 }  // namespace amaranth::pvt
