--- a/src/amaranthd/drain_test.py
+++ b/src/amaranthd/drain_test.py
@@ -109,8 +109,7 @@
 
 def wait_for_load(port):
     before = count_requests(port)
-    wait_until(lambda: count_requests(port) >= before + 2 * RATE,
-               "the load to start")
+    wait_until(lambda: count_requests(port) >= before + 2 * RATE, "load")
 
 
 def check_run_once(result, what):
@@ -125,7 +124,7 @@
     d3, ports3 = fleet.start_node("d3", ports1["gossip"])
     fleet.start_echo_server("echo-1", ports1["caller"])
     fleet.start_echo_server("echo-2", ports2["caller"])
-    wait_until(lambda: answers_with(ports3["caller"], 200), "an answer")
+    wait_until(lambda: answers_with(ports3["caller"], 200), "answer")
     wait_until(lambda: count_servers(ports3["operator"]) == 2,
                "the second backend server")
 
@@ -148,7 +147,7 @@
     check_run_once(result, "entry node stops")
     allowed = {"ok", "not connected", "503 not-run draining", "broken off"}
     check(set(result["outcomes"]) <= allowed,
-          "calls at the stopping node are complete, refused or unconnected")
+          "calls at the stopping entry node: complete, refused or unconnected")
     # The caller may send a request on an idle connection just as the process
     # exits. This affects at most one request per connection.
     check(result["outcomes"].get("broken off", 0) <= 32,
