--- a/src/amaranthd/main.cc
+++ b/src/amaranthd/main.cc
@@ -83,8 +83,9 @@
   if (options.announce_port) {
     host.announce_listen = Endpoint{options.ip, *options.announce_port};
   }
-  if (options.rows) platform::AdaptShells(host);
-  if (options.stop_grace.count() > 0) host.flush_limit = kFlushLimitWithinGrace;
+  if (options.rows) platform::ConfigureHttpClient(host);
+  if (options.stop_grace.count() > 0)
+    host.flush_timeout = kFlushLimitWithinGrace;
   host.client.max_response_bytes = options.identity.max_body_bytes;
   host.log.level = options.log_level;
   host.log.format = options.log_format;
@@ -157,11 +158,11 @@
   rows.config.drain_timeout = std::chrono::duration_cast<Duration>(
       options.stop_grace * kDrainShareOfGrace);
   HttpClientOptions client;
-  client.silence_limit = platform::kSilenceLimit;
+  client.ack_timeout = platform::kAckTimeout;
   const auto http = std::make_shared<HttpClient>(io, client);
   const auto log = std::make_shared<LogSink>(ToHostOptions(options).log);
   return std::make_shared<platform::RowStore>(
-      rows, HttpCallOn(http), [log](const std::string& message) {
+      rows, MakeHttpCall(http), [log](const std::string& message) {
         const auto now = std::chrono::steady_clock::now().time_since_epoch();
         log->Write(TimePoint(std::chrono::duration_cast<Duration>(now)),
                    {LogLevel::kWarning, "store", message});
