--- a/src/bench/measure_added_time.py
+++ b/src/bench/measure_added_time.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Time that the system adds to a call, beside a direct call in the same run.
+"""Measures the latency that the nodes add to a call, against direct calls.
 
-Starts nodes and echo servers from the build folder on loopback, runs the load
-tool against the echo server directly and through the nodes in turn, and prints
-a table. "one node" enters and serves on the same node; "two nodes" enters at a
-node without a server, so that every call crosses the peer link.
+Starts nodes and an echo server from the build folder on loopback, runs the load
+tool in turn against the echo server directly and through the nodes, and prints
+a table. With "one node" the entry node is also the serving node; with "two
+nodes" the entry node has no server, so that every call crosses the peer link.
 """
 import argparse
 import json
@@ -15,7 +15,7 @@
 import time
 import urllib.request
 
-RATIOS = ("p50", "p90", "p99", "p99.9")
+QUANTILES = ("p50", "p90", "p99", "p99.9")
 
 
 class Fleet:
@@ -24,34 +24,34 @@
         self.folder = folder
         self.processes = []
 
-    def start(self, command, log):
+    def start_process(self, command, log):
         with open(os.path.join(self.folder, log), "w") as file:
             process = subprocess.Popen(command, stdout=file, stderr=file)
         self.processes.append(process)
         return process
 
-    def node(self, name, seeds=""):
+    def start_node(self, name, seeds=""):
         ports_file = os.path.join(self.folder, name + ".json")
         command = [self.build + "/src/amaranthd/amaranthd",
                    "--node-name", name, "--data-centre", "dc1",
                    "--ports-file", ports_file]
         if seeds:
             command += ["--seeds", seeds]
-        process = self.start(command, name + ".log")
-        wait(lambda: os.path.exists(ports_file))
+        process = self.start_process(command, name + ".log")
+        wait_until(lambda: os.path.exists(ports_file))
         with open(ports_file) as file:
             ports = json.load(file)
         ports["process"] = process
         return ports
 
-    def echo(self, name, node=None, slots=2000):
+    def start_echo_server(self, name, node=None, slots=2000):
         command = [self.build + "/src/bench/echo_server", "--name", name,
                    "--slots", str(slots)]
         if node:
             command += ["--node", "127.0.0.1:%d" % node["caller"]]
-        self.start(command, name + ".log")
+        self.start_process(command, name + ".log")
         path = os.path.join(self.folder, name + ".log")
-        wait(lambda: open(path).read().strip() != "")
+        wait_until(lambda: open(path).read().strip() != "")
         return int(open(path).read().split()[0])
 
     def stop(self):
@@ -62,16 +62,16 @@
             process.wait()
 
 
-def wait(condition, limit=20):
+def wait_until(condition, limit=20):
     end = time.time() + limit
     while time.time() < end:
         if condition():
             return
         time.sleep(0.05)
-    raise RuntimeError("did not come up")
+    raise RuntimeError("timed out waiting for a process to start")
 
 
-def serves(port):
+def is_served_at(port):
     request = urllib.request.Request("http://127.0.0.1:%d/" % port)
     request.add_header("X-Amaranth-Service", "echo")
     request.add_header("X-Token", "1")
@@ -104,10 +104,10 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def row(name, result, cpu=None):
+def print_row(name, result, cpu=None):
     text = "%-22s %8.0f/s" % (name, result["answered"] / result["seconds"])
-    for ratio in RATIOS:
-        text += "  %s %7.3f" % (ratio, result["ms"][ratio])
+    for quantile in QUANTILES:
+        text += "  %s %7.3f" % (quantile, result["ms"][quantile])
     text += "  crossed %d dup %d unfinished %d" % (
         result["crossed"], result["duplicates"], result["unfinished"])
     if cpu is not None:
@@ -122,7 +122,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--build", default="build")
     parser.add_argument("--rates", default="306,1000,5000,10000,15000,0",
-                        help="calls a second; 0 is a closed loop")
+                        help="calls per second; 0 runs a closed loop")
     parser.add_argument("--connections", type=int, default=64)
     parser.add_argument("--seconds", type=float, default=10)
     parser.add_argument("--method", default="GET")
@@ -137,10 +137,11 @@
 
 
 def measure(fleet, options):
-    serving = fleet.node("n1")
-    entry = fleet.node("n2", "127.0.0.1:%d" % serving["gossip"])
-    direct = fleet.echo("echo-1", serving)
-    wait(lambda: serves(serving["caller"]) and serves(entry["caller"]))
+    serving = fleet.start_node("n1")
+    entry = fleet.start_node("n2", "127.0.0.1:%d" % serving["gossip"])
+    direct = fleet.start_echo_server("echo-1", serving)
+    wait_until(lambda: is_served_at(serving["caller"]) and
+               is_served_at(entry["caller"]))
     print("load average at start: %s" % (os.getloadavg(),))
     for rate in [float(text) for text in options.rates.split(",")]:
         print("rate %s" % ("closed loop" if rate == 0 else "%g/s" % rate))
@@ -155,7 +156,7 @@
             if node:
                 cpu = ((cpu_seconds(node["process"]) - before) /
                        (options.seconds + 1))
-            row(name, result, cpu)
+            print_row(name, result, cpu)
     print("load average at end: %s" % (os.getloadavg(),))
 
 
