--- a/testsuite/crash-making-request/run.py
+++ b/testsuite/crash-making-request/run.py
@@ -1,9 +1,9 @@
-"""One request crashes each server that runs it, and its caller sends it again.
+"""A request crashes each server that runs it, and its caller resends it.
 
-The first crash makes the requests then in flight suspects, the second shows
-which one it is. From then on it is refused as quarantined on every node, so
-at most two of the five servers are lost, however often it is sent; other
-callers keep being served.
+The first crash makes the requests in flight at that server suspects, the
+second identifies the one that causes it. From then on every node refuses it as
+quarantined, so at most two of the five servers crash, however often it is
+resent, and other requests are still served.
 """
 
 import sys
@@ -30,26 +30,28 @@
     run.wait_ready(servers)
     for server in servers:
         server.fault(crash_on_token="bad")
-    ports = [node.callers for node in nodes]
+    ports = [node.caller_port for node in nodes]
     load = calls.LoadRun(lambda: ports,
                          [calls.Load("catalogue", "browse", "GET", 100)],
                          workers=32)
-    fleet.wait_until(lambda: load.count() >= 100, "load flows")
-    told = []
+    fleet.wait_until(lambda: load.count() >= 100, "load is running")
+    outcomes = []
     for number in range(SENDS):
         answer = calls.call_service(
             nodes[number % len(nodes)], "catalogue", path="/bad", token="bad",
             deadline_ms=3000)
-        told.append((answer.status, answer.verdict, answer.reason))
+        outcomes.append((answer.status, answer.verdict, answer.reason))
     answers = load.stop()["browse"]
     crashed = [server.name for server in servers if not server.running]
-    whole = sum(answer.status == 200 for _, answer in answers)
-    print(f"told: {told}")
-    print(f"crashed: {crashed}; browse whole: {whole} of {len(answers)}")
+    served = sum(answer.status == 200 for _, answer in answers)
+    print(f"answers to the crashing request: {outcomes}")
+    print(f"crashed: {crashed}; browse served: {served} of {len(answers)}")
     fleet.check(1 <= len(crashed) <= MAX_CRASHES,
                 f"servers crashed: {crashed}")
-    fleet.check(told[-1][2] == "quarantined", "the request is quarantined")
-    fleet.check(whole >= 0.97 * len(answers), "other callers are served")
+    fleet.check(outcomes[-1][2] == "quarantined",
+                "the last resend is refused as quarantined")
+    fleet.check(served >= 0.97 * len(answers),
+                "at least 97 % of browse requests are served")
 
 
 if __name__ == "__main__":
--- a/testsuite/demo/run.py
+++ b/testsuite/demo/run.py
@@ -1,10 +1,10 @@
-"""The README's main job: a burst above capacity, and what callers got.
+"""Demonstrates priorities in a burst of load above capacity.
 
-Starts the platform's stand-in, three nodes in two data centres and, on each
-node's host, one stand-in server of each service of a chain three deep
-(catalogue, subscriptions, progress). Progress is the bottleneck. Listeners
-browse and subscribers renew; a burst offers twice what progress can do. Run
-it after a build:  python3 testsuite/demo/run.py
+Starts the platform stand-in, three nodes in two data centres and, on the host
+of each node, one stand-in server of each service of a chain of three
+(catalogue, subscriptions, progress). Progress is the bottleneck: the burst
+offers twice its capacity. Browse requests come from listeners, renewals from
+subscribers. Run after a build:  python3 testsuite/demo/run.py
 """
 
 import pathlib
@@ -27,7 +27,7 @@
 MIN_RENEWAL_SHARE = 0.9
 
 
-def start(run):
+def start_fleet(run):
     run.start_platform()
     nodes = [
         run.start_node("bilbao-1", "bilbao-a"),
@@ -36,13 +36,13 @@
     ]
     servers = []
     for node in nodes:
-        def add(service, **flags):
+        def add_server(service, **flags):
             servers.append(run.start_backend(
                 f"{service}-{node.name}", service, node, **flags))
-        add("progress", slots=PROGRESS_SLOTS, service_ms=PROGRESS_MS,
-            connections=200)
-        add("subscriptions", slots=140, service_ms=2, calls="progress")
-        add("catalogue", slots=100, service_ms=2, calls="subscriptions")
+        add_server("progress", slots=PROGRESS_SLOTS, service_ms=PROGRESS_MS,
+                   connections=200)
+        add_server("subscriptions", slots=140, service_ms=2, calls="progress")
+        add_server("catalogue", slots=100, service_ms=2, calls="subscriptions")
     run.wait_ready(servers)
     return nodes
 
@@ -53,32 +53,32 @@
         changes.append((f"default/{service}/browse", "tier", "browse"))
         changes.append((f"default/{service}/renewal", "tier", "critical"))
     answer = nodes[0].set_settings(*changes, author="demo")
-    fleet.check(answer.status == 200, f"settings are taken: {answer.body}")
+    fleet.check(answer.status == 200, f"settings are accepted: {answer.body}")
     version = answer.json()["version"]
     for node in nodes:
         fleet.wait_until(lambda: node.settings_version() >= version,
-                         f"{node.name} has settings {version}", 5.0)
+                         f"{node.name} has settings version {version}", 5.0)
 
 
-def offer(nodes, share, seconds):
+def run_load(nodes, share, seconds):
     loads = [
         calls.Load("catalogue", "browse", "GET", PER_SECOND_BROWSE * share),
         calls.Load("catalogue", "renewal", "POST", PER_SECOND_RENEWAL * share,
                    ticketed=True),
     ]
     wanted = sum(load.per_second for load in loads) * seconds
-    ports = [node.callers for node in nodes]
+    ports = [node.caller_port for node in nodes]
     load_run = calls.LoadRun(lambda: ports, loads, workers=250)
     fleet.wait_until(lambda: load_run.count() >= wanted,
                      "all requests are answered", seconds * 4 + 20)
     answers = load_run.stop()
     if load_run.late:
-        print(f"({load_run.late} requests left this load maker late)")
+        print(f"({load_run.late} requests were sent late by the generator)")
     return answers
 
 
-def burst(run):
-    nodes = start(run)
+def run_demo(run):
+    nodes = start_fleet(run)
     set_tiers(nodes)
     capacity = len(nodes) * PROGRESS_SLOTS * 1000 // PROGRESS_MS
     offered = PER_SECOND_BROWSE + PER_SECOND_RENEWAL
@@ -87,24 +87,27 @@
     phases = [("before", CALM_SHARE, 3), ("burst", 1.0, BURST_SECONDS),
               ("after", CALM_SHARE, 3)]
     for title, share, seconds in phases:
-        answers = offer(nodes, share, seconds)
+        answers = run_load(nodes, share, seconds)
         report.print_table(f"{title}: {offered * share:.0f}/s for {seconds} s",
                            answers)
         for token, answer in sum(answers.values(), []):
             fleet.check(
-                answer.status != 200 or chain.is_whole(answer, SERVICES, token),
-                f"an answer is not whole or not {token}'s: {answer.body}")
+                answer.status != 200 or
+                chain.is_complete(answer, SERVICES, token),
+                f"{token} got an incomplete answer or another's: {answer.body}")
         check_priority(answers)
-    print("\nevery answer was whole and its own caller's")
+    print("\nevery answer was complete and belonged to its own request")
 
 
 def check_priority(answers):
-    """Renewals alone fit in the capacity, so browsing must make room."""
-    rows = {name: report.summarize(got) for name, got in answers.items()}
+    """Checks that renewals are served: they fit in the capacity, so the excess
+    must be shed from browse requests."""
+    rows = {name: report.summarize(class_answers)
+            for name, class_answers in answers.items()}
     ok = {name: row["ok"] / row["sent"] for name, row in rows.items()}
     fleet.check(ok["renewal"] >= MIN_RENEWAL_SHARE,
-                f"renewals are shed after browsing: {ok}")
+                f"browse requests are shed before renewals: {ok}")
 
 
 if __name__ == "__main__":
-    sys.exit(fleet.run_case(burst))
+    sys.exit(fleet.run_case(run_demo))
--- a/testsuite/kill-serving-node/run.py
+++ b/testsuite/kill-serving-node/run.py
@@ -1,9 +1,9 @@
 """A serving node is killed with calls in flight.
 
-Callers of the other nodes see whole answers for what is idempotent: the
-entry node sees the peer's link end and tries another server. A POST that was
-on the killed node may have run, so it is not tried again and its caller is
-told so; none runs twice, and none that was told "not run" ran.
+Idempotent requests through the other nodes get complete answers: the entry node
+notices the closed peer link and retries at another server. A POST that was at
+the killed node may have run, so it is not retried and its caller gets the
+verdict may-have-run. No POST runs twice, and none answered "not run" has run.
 """
 
 import collections
@@ -26,33 +26,34 @@
         for node in serving
     ]
     run.wait_ready(servers)
-    ports = [node.callers for node in entries]
+    ports = [node.caller_port for node in entries]
     load = calls.LoadRun(
         lambda: ports,
         [calls.Load("catalogue", "browse", "GET", 100),
          calls.Load("catalogue", "renewal", "POST", 60)],
         workers=48,
     )
-    fleet.wait_until(lambda: load.count() >= 150, "load flows")
+    fleet.wait_until(lambda: load.count() >= 150, "load is running")
     fleet.wait_until(lambda: servers[1].effects()["started"] >= 20,
-                     "the server of the node to be killed takes part")
+                     "the server of the node to be killed runs requests")
     serving[1].kill()
-    at_kill = load.count()
-    fleet.wait_until(lambda: load.count() >= at_kill + 600, "load goes on")
+    count_at_kill = load.count()
+    fleet.wait_until(lambda: load.count() >= count_at_kill + 600,
+                     "load continues")
     answers = load.stop()
 
     failed = [a for _, a in answers["renewal"] if a.status != 200]
     for name, class_answers in sorted(answers.items()):
-        told = collections.Counter((a.status, a.verdict, a.reason)
-                                   for _, a in class_answers)
-        print(f"{name}: {dict(told)}")
-    effects.check_told_truth(answers["browse"], servers, once=False)
-    effects.check_told_truth(answers["renewal"], servers, once=True)
-    effects.check_all_whole(answers["browse"], ["catalogue"])
+        outcomes = collections.Counter((a.status, a.verdict, a.reason)
+                                       for _, a in class_answers)
+        print(f"{name}: {dict(outcomes)}")
+    effects.check_verdicts(answers["browse"], servers, once=False)
+    effects.check_verdicts(answers["renewal"], servers, once=True)
+    effects.check_all_complete(answers["browse"], ["catalogue"])
     fleet.check(all(a.verdict == "may-have-run" for a in failed),
-                "only calls that were on the killed node fail")
+                "only calls at the killed node fail, as may-have-run")
     fleet.check(len(failed) <= 20,
-                "no more fail than the killed node's server has slots")
+                "at most as many fail as the killed node's server has slots")
 
 
 if __name__ == "__main__":
--- a/testsuite/lib/calls.py
+++ b/testsuite/lib/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls as callers make them, singly and as a steady load."""
+"""HTTP requests of callers: single requests and open-loop load."""
 
 import collections
 import dataclasses
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What a caller got; status 0 means that no whole answer came."""
+    """What a caller received; status 0 if no complete answer arrived."""
 
     status: int
     headers: dict
@@ -30,7 +30,8 @@
 
     @property
     def verdict(self):
-        """The node's verdict: ran, or as the failure body says."""
+        """The verdict of the node: `ran` if the header says so, otherwise the
+        `verdict` of the failure body. Empty if there is none."""
         if self.ran or self.status == 0:
             return "ran" if self.ran else ""
         try:
@@ -46,7 +47,7 @@
             return ""
 
 
-def _request(connection, path, method, body, headers):
+def _send_request(connection, path, method, body, headers):
     if isinstance(body, (dict, list)):
         body = json.dumps(body).encode()
     start = time.monotonic()
@@ -61,27 +62,32 @@
     return Answer(response.status, received, data, time.monotonic() - start)
 
 
-def call(port, path, method="GET", body=None, headers=None, timeout=10.0):
-    """One call on a connection of its own."""
+def http_request(port, path, method="GET", body=None, headers=None,
+                 timeout=10.0):
+    """Sends one HTTP request on a new connection."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
-        return _request(connection, path, method, body, headers)
+        return _send_request(connection, path, method, body, headers)
     finally:
         connection.close()
 
 
 def call_service(node, service, path="/", method="GET", body=None,
                  timeout=10.0, **headers):
-    """A caller's request; headers by name, e.g. request_class, token."""
-    return call(
-        node.callers, path, method, body, service_headers(service, **headers),
+    """Sends a caller's request to `service` through `node`.
+
+    `headers` are the arguments of service_headers(), e.g. request_class.
+    """
+    return http_request(
+        node.caller_port, path, method, body,
+        service_headers(service, **headers),
         timeout,
     )
 
 
 def service_headers(service, request_class="", token="", request_id="",
                     key="", deadline_ms=0, tenant=""):
-    """The callers' headers, without those that are empty."""
+    """Returns the headers of a caller's request; empty ones are left out."""
     headers = {
         "X-Amaranth-Service": service,
         "X-Amaranth-Class": request_class,
@@ -96,30 +102,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """One request class offered at a steady rate, whatever the answers."""
+    """One request class, offered at a constant rate regardless of answers."""
 
     service: str
     request_class: str
     method: str
     per_second: float
     deadline_ms: int = 2000
-    # Each request uses a ticket: from the last answer of its node, or asked
-    # for. A ticket makes a resend safe and needs no platform.
+    # Each request carries a ticket as its idempotency key: one returned with
+    # an earlier answer of the same node, or a newly requested one. A ticket
+    # makes a resend safe and works without the platform.
     ticketed: bool = False
 
 
 class LoadRun:
-    """Offers loads to nodes in turn until stopped; keeps every answer.
+    """Sends loads to the nodes in turn until stopped and keeps every answer.
 
-    An open loop: each request has its time from the start, so a slow answer
-    does not slow the offer, as with many callers that know nothing of each
-    other. `late` counts requests that no free worker could send on time.
+    Open loop: the send time of each request is fixed from the start, so slow
+    answers do not reduce the offered rate, as with many independent callers.
+    `late` counts requests sent more than LATE_SECONDS after their time because
+    no worker was free.
     """
 
     LATE_SECONDS = 0.25
 
     def __init__(self, ports, loads, workers=64):
-        self._ports = ports  # a function: the callers' ports in use now
+        self._ports = ports  # function: returns the caller ports in use
         self._loads = loads
         self._lock = threading.Lock()
         self._stopped = threading.Event()
@@ -127,16 +135,16 @@
         self._next = [0] * len(loads)
         self.late = 0
         self.answers = collections.defaultdict(list)
-        self._tickets = collections.defaultdict(list)  # by node
+        self._tickets = collections.defaultdict(list)  # by caller port
         self._threads = [
-            threading.Thread(target=self._work, daemon=True)
+            threading.Thread(target=self._run_worker, daemon=True)
             for _ in range(workers)
         ]
         for thread in self._threads:
             thread.start()
 
     def stop(self):
-        """Stops offering, waits for the answers and returns them by class."""
+        """Stops sending, waits for the answers and returns them by class."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
@@ -146,7 +154,7 @@
         with self._lock:
             return sum(len(answers) for answers in self.answers.values())
 
-    def _take(self):
+    def _next_due(self):
         with self._lock:
             due = [
                 self._start + number / load.per_second
@@ -156,17 +164,18 @@
             self._next[index] += 1
             return self._loads[index], due[index], self._next[index]
 
-    def _ticket(self, connection, port):
+    def _take_ticket(self, connection, port):
         with self._lock:
             if self._tickets[port]:
                 return self._tickets[port].pop()
-        answer = _request(connection, "/amaranth/v1/ticket", "POST", b"", {})
+        answer = _send_request(connection, "/amaranth/v1/ticket", "POST", b"",
+                               {})
         return answer.json()["ticket"] if answer.status == 200 else ""
 
-    def _work(self):
+    def _run_worker(self):
         connections = {}
         while not self._stopped.is_set():
-            load, due, number = self._take()
+            load, due, number = self._next_due()
             if self._stopped.wait(max(0.0, due - time.monotonic())):
                 return
             if time.monotonic() - due > self.LATE_SECONDS:
@@ -186,11 +195,12 @@
             load.service,
             load.request_class,
             token=token,
-            key=self._ticket(connections[port], port) if load.ticketed else "",
+            key=self._take_ticket(connections[port], port)
+            if load.ticketed else "",
             deadline_ms=load.deadline_ms,
         )
         body = b"{}" if load.method == "POST" else None
-        answer = _request(
+        answer = _send_request(
             connections[port], f"/{token}", load.method, body, headers
         )
         if answer.header("X-Amaranth-Ticket"):
--- a/testsuite/lib/chain.py
+++ b/testsuite/lib/chain.py
@@ -1,8 +1,8 @@
-"""What a whole answer of a chain of backend_standin servers looks like."""
+"""Checks the answer of a chain of backend_standin servers."""
 
 
-def is_whole(answer, services, token):
-    """True if `answer` holds one level for each service, all for `token`."""
+def is_complete(answer, services, token):
+    """Returns whether `answer` has one level per service, each for `token`."""
     if answer.status != 200:
         return False
     level = answer.json()
--- a/testsuite/lib/effects.py
+++ b/testsuite/lib/effects.py
@@ -1,4 +1,4 @@
-"""Compares what callers were told with what backend servers did."""
+"""Compares the answers of callers with what the backend servers ran."""
 
 import collections
 
@@ -7,7 +7,7 @@
 
 
 def runs_by_token(servers):
-    """How often each token ran, over all of `servers` that still live."""
+    """Counts the runs of each token at those of `servers` that are running."""
     total = collections.Counter()
     for server in servers:
         if server.running:
@@ -15,26 +15,25 @@
     return total
 
 
-def check_told_truth(answers, servers, once):
-    """`answers` are [(token, Answer)] of requests to `servers`' one service.
-
-    A 200 ran; "not run" truly did not run, whatever else happened; with
-    `once` (non-idempotent requests) nothing ran twice.
+def check_verdicts(answers, servers, once):
+    """Checks `answers`, [(token, Answer)] of requests to the one service of
+    `servers`: a request answered with 200 ran, and one answered with verdict
+    not-run did not. With `once` (non-idempotent requests) none ran twice.
     """
     runs = runs_by_token(servers)
     for token, answer in answers:
-        told = f"{token}: {answer.status} {answer.verdict} {answer.reason}"
+        outcome = f"{token}: {answer.status} {answer.verdict} {answer.reason}"
         if answer.status == 200:
-            fleet.check(runs[token] >= 1, f"{told}, but it did not run")
+            fleet.check(runs[token] >= 1, f"{outcome}, but it did not run")
         if answer.verdict == "not-run":
-            fleet.check(runs[token] == 0, f"{told}, but it ran")
+            fleet.check(runs[token] == 0, f"{outcome}, but it ran")
         if once:
-            fleet.check(runs[token] <= 1, f"{told}, ran {runs[token]} times")
+            fleet.check(runs[token] <= 1, f"{outcome}, ran {runs[token]} times")
 
 
-def check_all_whole(answers, services):
+def check_all_complete(answers, services):
     for token, answer in answers:
         fleet.check(
-            chain.is_whole(answer, services, token),
-            f"{token} is not answered whole: {answer}",
+            chain.is_complete(answer, services, token),
+            f"{token} has no complete answer: {answer}",
         )
--- a/testsuite/lib/faulty_proxy.py
+++ b/testsuite/lib/faulty_proxy.py
@@ -1,8 +1,8 @@
-"""A TCP proxy on 127.0.0.1 that harms what passes: delay, reset, silence, and a
-listener that refuses.
+"""A TCP proxy on 127.0.0.1 that injects faults: delays, resets, blackholed
+connections and refused connections.
 
-Silence is as when a firewall between the two ends forgets a connection: neither
-end is told, and bytes sent on it go nowhere.
+A blackholed connection behaves as if a firewall on the path had lost its state:
+bytes are dropped and neither side is notified.
 """
 
 import socket
@@ -11,8 +11,8 @@
 import time
 
 CHUNK = 65536
-# With this linger a close sends a reset.
-RESET = struct.pack("ii", 1, 0)
+# SO_LINGER with a timeout of 0: close() sends a reset.
+LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
 class FaultyProxy:
@@ -20,62 +20,63 @@
         self._target = target
         self._lock = threading.Lock()
         self._pairs = set()
-        self._silenced = set()
-        self.delay = 0.0  # seconds, each chunk, both directions
-        self.silent_to = set()  # of "near", "far": bytes that way are lost
-        self.swallowed_bytes = 0
+        self._blackholed = set()
+        self.delay = 0.0  # seconds added to each chunk, both directions
+        self.drop_to = set()  # of "client", "server": drops bytes to it
+        self.dropped_bytes = 0
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def silence_open_connections(self):
-        """Those open now pass nothing any more, new ones work; returns how
-        many."""
+    def blackhole_open_connections(self):
+        """Drops all further bytes of the open connections; new connections
+        work. Returns the number of connections affected."""
         with self._lock:
-            self._silenced |= self._pairs
+            self._blackholed |= self._pairs
             return len(self._pairs)
 
-    def heal(self):
-        """Ends delay and silence. Connections that have lost bytes do not come
-        right again: all are reset."""
+    def clear_faults(self):
+        """Stops delaying and drop. Resets all connections, as those that
+        lost bytes cannot recover."""
         self.delay = 0.0
-        self.silent_to = set()
+        self.drop_to = set()
         self.reset_all()
 
     def reset_all(self):
         with self._lock:
             pairs, self._pairs = self._pairs, set()
-            self._silenced.clear()
+            self._blackholed.clear()
         for pair in pairs:
-            for end in pair:
-                _reset(end)
+            for sock in pair:
+                _reset(sock)
 
     def close(self):
-        """Refuses from now on, and resets what is open."""
-        _shut(self._listener)
+        """Refuses new connections and resets the open ones."""
+        _shut_down(self._listener)
         self._listener.close()
         self.reset_all()
 
     def _accept(self):
         while True:
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return
             try:
                 host, _, port = self._target.rpartition(":")
-                far = socket.create_connection((host, int(port)))
+                server = socket.create_connection((host, int(port)))
             except OSError:
-                _reset(near)
+                _reset(client)
                 continue
-            pair = (near, far)
+            pair = (client, server)
             with self._lock:
                 self._pairs.add(pair)
-            for way in (("far", near, far), ("near", far, near)):
-                threading.Thread(target=self._pump, args=(pair, *way),
+            for direction in (("server", client, server),
+                              ("client", server, client)):
+                threading.Thread(target=self._forward, args=(pair, *direction),
                                  daemon=True).start()
 
-    def _pump(self, pair, way, source, target):
+    def _forward(self, pair, receiver, source, target):
         while True:
             try:
                 data = source.recv(CHUNK)
@@ -84,13 +85,13 @@
             if self.delay:
                 time.sleep(self.delay)
             with self._lock:
-                silent = way in self.silent_to or pair in self._silenced
-                if silent:
-                    self.swallowed_bytes += len(data)
-            if silent and data:
+                drop = receiver in self.drop_to or pair in self._blackholed
+                if drop:
+                    self.dropped_bytes += len(data)
+            if drop and data:
                 continue
-            if silent:
-                return  # one end closed; the other is not told
+            if drop:
+                return  # one side closed; the other is not notified
             if not data:
                 break
             try:
@@ -99,22 +100,22 @@
                 break
         with self._lock:
             self._pairs.discard(pair)
-        for end in pair:
-            _shut(end)
+        for sock in pair:
+            _shut_down(sock)
 
 
-def _shut(end):
+def _shut_down(sock):
     try:
-        end.shutdown(socket.SHUT_RDWR)
+        sock.shutdown(socket.SHUT_RDWR)
     except OSError:
         pass
 
 
-def _reset(end):
+def _reset(sock):
     try:
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        # A thread may be waiting in recv on it; shutdown wakes that.
-        _shut(end)
-        end.close()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
+        # Wakes a thread that may be blocked in recv() on it.
+        _shut_down(sock)
+        sock.close()
     except OSError:
         pass
--- a/testsuite/lib/fleet.py
+++ b/testsuite/lib/fleet.py
@@ -1,8 +1,8 @@
-"""Starts a small fleet on 127.0.0.1 and cleans it up: nodes, backend servers
-and the platform's stand-in, each a process of its own on ports of its own.
+"""Runs a small fleet on 127.0.0.1: nodes, backend servers and the stand-in of
+the platform, each a separate process with its own ports.
 
-Cases wait on conditions, never for a fixed time, and end processes by their
-pid. On failure the ends of all logs are printed.
+Cases wait for conditions, never for a fixed time, and processes are ended by
+pid. The last part of every log is printed if a case fails.
 """
 
 import ctypes
@@ -32,36 +32,39 @@
 
 
 class CaseFailed(Exception):
-    """A condition of the case did not come true."""
+    """A check of the case failed or a wait timed out."""
 
 
-def wait_until(condition, what, timeout=START_TIMEOUT):
-    """Polls `condition` until it is true and returns its value."""
+def wait_until(condition, description, timeout=START_TIMEOUT):
+    """Polls `condition` until its value is true and returns that value.
+
+    Raises CaseFailed after `timeout` seconds.
+    """
     end = time.monotonic() + timeout
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > end:
-            raise CaseFailed(f"not within {timeout} s: {what}")
+            raise CaseFailed(f"timed out after {timeout} s: {description}")
         time.sleep(0.02)
 
 
-def check(condition, what):
+def check(condition, description):
     """Fails the case unless `condition` holds."""
     if not condition:
-        raise CaseFailed(what)
+        raise CaseFailed(description)
 
 
 def _before_exec():
-    # A harness killed by its timeout must leave no process behind, and a
-    # server that aborts on purpose no core file.
+    # Ends the child with the harness, which may be killed at its timeout, and
+    # disables core files, as some cases make servers abort.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
 
 
 class Process:
-    """One child process; its ports are read from the file it writes."""
+    """A child process. Its ports are read from its --ports-file."""
 
     def __init__(self, fleet, name, program, flags, environment=None):
         self.name = name
@@ -102,12 +105,12 @@
             self._child.send_signal(number)
 
     def kill(self):
-        """Ends it at once, as a power cut would."""
+        """Kills the process, as a power failure of its host would."""
         self.signal(signal.SIGKILL)
         self._child.wait()
 
     def terminate(self):
-        """Asks for a planned stop, without waiting for it."""
+        """Requests a planned stop (SIGTERM) without waiting for it."""
         self.signal(signal.SIGTERM)
 
     def wait_exit(self, timeout=STOP_TIMEOUT):
@@ -125,34 +128,34 @@
 
 
 class StandIn(Process):
-    """A stand-in that takes faults at /_standin/fault."""
+    """A stand-in, which accepts faults at /_standin/fault."""
 
     @property
     def port(self):
         return self.ports["port"]
 
     def fault(self, **faults):
-        answer = calls.call(
+        answer = calls.http_request(
             self.port, "/_standin/fault", method="POST", body=faults
         )
-        check(answer.status == 200, f"{self.name} took the fault {faults}")
+        check(answer.status == 200, f"{self.name} accepts the fault {faults}")
 
 
 class Platform(StandIn):
     def counts(self):
-        return calls.call(self.port, "/_standin/counts").json()
+        return calls.http_request(self.port, "/_standin/counts").json()
 
 
 class Backend(StandIn):
     def effects(self):
-        return calls.call(self.port, "/_standin/effects").json()
+        return calls.http_request(self.port, "/_standin/effects").json()
 
 
 class Node(Process):
     data_centre = ""
 
     @property
-    def callers(self):
+    def caller_port(self):
         return self.ports["caller"]
 
     @property
@@ -160,7 +163,7 @@
         return f"127.0.0.1:{self.ports['gossip']}"
 
     def operator(self, path, method="GET", body=None, timeout=10.0):
-        return calls.call(
+        return calls.http_request(
             self.ports["operator"],
             path,
             method=method,
@@ -172,8 +175,9 @@
     def is_ready(self):
         return self.operator("/ready", timeout=2.0).status == 200
 
-    def knows(self, servers):
-        """True if its view holds all of `servers` (names), none draining."""
+    def knows_servers(self, servers):
+        """Returns whether the node lists all of `servers` (names) at nodes that
+        are alive or suspect, none of them draining."""
         answer = self.operator("/servers", timeout=2.0)
         if answer.status != 200:
             return False
@@ -186,7 +190,7 @@
         return set(servers) <= known
 
     def set_settings(self, *changes, author="case"):
-        """Changes settings; each change is (path, name, value)."""
+        """Changes settings; each change is a tuple (path, name, value)."""
         body = {
             "author": author,
             "changes": [
@@ -204,7 +208,7 @@
 
 
 class Fleet:
-    """All processes of a case; a context manager that cleans up."""
+    """All processes of a case; as a context manager it ends them on exit."""
 
     def __init__(self, name):
         self.name = name
@@ -272,9 +276,9 @@
         return self._add(node)
 
     def start_backend(self, name, service, node, **flags):
-        """Flags as backend_standin has them, e.g. service_ms=5."""
+        """Starts a backend_standin with its `flags`, e.g. service_ms=5."""
         arguments = ["--name", name, "--service", service]
-        arguments += ["--node", f"127.0.0.1:{node.callers}"]
+        arguments += ["--node", f"127.0.0.1:{node.caller_port}"]
         for flag, value in flags.items():
             arguments += ["--" + flag.replace("_", "-"), str(value)]
         return self._add(
@@ -282,17 +286,18 @@
         )
 
     def wait_ready(self, servers):
-        """Waits until every node is ready and knows all of `servers`."""
+        """Waits until all running nodes are ready and list all `servers`."""
         names = [server.name for server in servers]
         for node in self.nodes:
             if not node.running:
                 continue
             wait_until(node.is_ready, f"{node.name} is ready")
-            wait_until(lambda: node.knows(names), f"{node.name} knows {names}")
+            wait_until(lambda: node.knows_servers(names),
+                       f"{node.name} lists the servers {names}")
 
 
 def run_case(case):
-    """Runs `case(fleet)` and exits: 0 passed, 1 failed."""
+    """Runs `case(fleet)`; exits with status 1 if it fails."""
     name = pathlib.Path(sys.argv[0]).resolve().parent.name
     try:
         with Fleet(name) as fleet:
--- a/testsuite/lib/report.py
+++ b/testsuite/lib/report.py
@@ -1,10 +1,10 @@
-"""Tables of what callers got."""
+"""Summaries of the answers that callers received."""
 
 import math
 
 
 def percentile(values, share):
-    """The smallest value that `share` of all do not exceed; 0 if none."""
+    """Returns the `share` quantile (nearest rank) of `values`; 0 if empty."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -12,7 +12,8 @@
 
 
 def summarize(answers):
-    """Counts and latencies of one class's answers [(token, Answer)]."""
+    """Returns counts and latencies (seconds) of the answers of one class,
+    [(token, Answer)]. `shed` counts failures with Retry-After."""
     ok = [answer for _, answer in answers if answer.status == 200]
     failed = [answer for _, answer in answers if answer.status != 200]
     shed = [answer for answer in failed if answer.header("Retry-After")]
@@ -29,7 +30,7 @@
 
 
 def print_table(title, by_class):
-    """Prints a line for each class; times are those of whole answers."""
+    """Prints a line for each class; p50 and p99 are of answers with 200."""
     print(f"\n{title}")
     print(f"{'class':<10}{'sent':>7}{'ok':>7}{'ok %':>7}{'shed':>7}"
           f"{'other':>7}{'p50 ms':>9}{'p99 ms':>9}{'refused p99':>13}")
--- a/testsuite/lib/users_platform.py
+++ b/testsuite/lib/users_platform.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the users' platform, from its published protocol: a store of
-rows, a backend server that announces itself and makes calls of its own, and a
-node that runs against both. Everything listens on 127.0.0.1, port 0.
+"""Stand-ins for the users' platform, written from its published protocol: a row
+store and a backend server that announces itself and makes nested calls. Starts
+nodes that use both. Everything listens on 127.0.0.1, port 0.
 """
 
 import base64
@@ -13,7 +13,7 @@
 import fleet
 
 SIGNATURE = "stand-in"
-BEAT_SECONDS = 0.2
+HEARTBEAT_SECONDS = 0.2
 
 
 class _Server(http.server.ThreadingHTTPServer):
@@ -21,7 +21,7 @@
     request_queue_size = 100
 
     def handle_error(self, request, client_address):
-        """A caller that breaks off is no error of the stand-in."""
+        """Ignores the error: a client that disconnects is not a fault here."""
 
     def __init__(self, handler):
         super().__init__(("127.0.0.1", 0), handler)
@@ -52,10 +52,11 @@
 
 
 class RowStore:
-    """Rows by table and key, one version counter, watches; and its faults."""
+    """Rows by table and key, with one version counter, long-poll watches and
+    simulated outages (503 to every call)."""
 
     def __init__(self):
-        self.away = False
+        self.unavailable = False
         self.writes = 0
         self._changed = threading.Condition()
         self._rows = {}
@@ -84,7 +85,7 @@
         self.put("op", "config",
                  base64.b64encode(json.dumps(config).encode()).decode())
 
-    def _reply(self, table, after):
+    def _rows_after(self, table, after):
         rows = [{"table": table, "part": "", "key": key, "value": value,
                  "ver": version}
                 for (of, key), (value, version) in sorted(self._rows.items())
@@ -93,7 +94,7 @@
                 "hasMore": False}
 
     def read(self, call):
-        if self.away:
+        if self.unavailable:
             return call.answer(503)
         path, _, text = call.path.partition("?")
         query = dict(part.partition("=")[::2] for part in text.split("&"))
@@ -103,34 +104,36 @@
         with self._changed:
             if path.endswith("rows-feed"):
                 self._changed.wait_for(
-                    lambda: self.away or self._reply(table, after)["rows"],
+                    lambda: self.unavailable or
+                    self._rows_after(table, after)["rows"],
                     wait)
-            reply = self._reply(table, after)
-        if self.away:
+            reply = self._rows_after(table, after)
+        if self.unavailable:
             return call.answer(503)
         return call.answer_json(200, reply)
 
     def write(self, call):
         body = json.loads(call.body())
-        if self.away:
+        if self.unavailable:
             return call.answer(503)
         for row in body["upserts"]:
             self.put(row["table"], row["key"], row["value"])
         self.writes += 1
         return call.answer_json(200, {"ver": self._version, "now": "1ms"})
 
-    def go_away(self):
+    def make_unavailable(self):
         with self._changed:
-            self.away = True
+            self.unavailable = True
             self._changed.notify_all()
 
-    def come_back(self):
-        self.away = False
+    def make_available(self):
+        self.unavailable = False
 
 
 class Worker:
-    """A backend server beside `node`. It calls `nested` (host, path) once for
-    each request it runs, through its node's callers' port."""
+    """A backend server on the host of `node`. If `nested` (host, path) is set,
+    it makes that nested call once for each request that it runs, through the
+    caller port of its node."""
 
     def __init__(self, node, service, name, nested=None, slots=4):
         self.service, self.name, self.nested = service, name, nested
@@ -147,33 +150,33 @@
 
             do_POST = do_GET
 
-        self._may_announce = threading.Event()
+        self._announce_allowed = threading.Event()
         self.server = _Server(Handler)
         threading.Thread(target=self._announce, daemon=True).start()
 
     def _announce(self):
         while self.state in ("ready", "draining"):
-            self.beat(self.state)
-            time.sleep(BEAT_SECONDS)
+            self.send_heartbeat(self.state)
+            time.sleep(HEARTBEAT_SECONDS)
 
-    def beat(self, state):
-        """One heartbeat; returns the status of its acknowledgement."""
+    def send_heartbeat(self, state):
+        """Sends a heartbeat; returns the status of its acknowledgement."""
         self._sequence += 1
-        return self.control("workers.heartbeat", {
+        return self.send_control("workers.heartbeat", {
             "addr": self.server.address, "born": self._started,
             "info": {"service": self.service, "version": "v1", "zone": "z",
                      "slots": self._slots},
             "status": {"state": state, "seq": self._sequence,
                        "coldLeft": "0ms"}})
 
-    def control(self, call, body):
+    def send_control(self, call, body):
         return request(self._node.ports["announce"], "POST",
                        f"/-/rpc?call={call}&of={self.name}",
                        body=json.dumps(body)).status
 
     def leave(self):
         self.state = "left"
-        return self.control("workers.leave", {})
+        return self.send_control("workers.leave", {})
 
     def serve(self, call):
         call.body()
@@ -185,9 +188,10 @@
         self.callers.append(call.headers.get("Caller"))
         if self.nested:
             host, path = self.nested
-            below = request(self._node.ports["caller"], "GET", path, host=host,
-                            attempt=f"{attempt}.n{len(self.runs)}")
-            if below.status != 200:
+            nested_answer = request(
+                self._node.ports["caller"], "GET", path, host=host,
+                attempt=f"{attempt}.n{len(self.runs)}")
+            if nested_answer.status != 200:
                 return call.answer(500, headers=echo)
         return call.answer(200, f"{self.service}:{call.path}".encode(),
                            echo + [("Response-Sig", SIGNATURE)])
@@ -201,7 +205,7 @@
 
 
 def request(port, method, path, host="", attempt="", body=None, timeout=10):
-    """One request on a connection of its own."""
+    """Sends one HTTP request on a new connection."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     headers = {"Deadline-Ms": "5000"}
     if host:
@@ -225,7 +229,7 @@
 
 def node_flags(name, store_address, service, zone="z",
                retry_slack=RETRY_SLACK):
-    """Flags of a node whose callers speak the users' platform."""
+    """Returns the flags of a node that runs on the users' platform."""
     return [
         "--node-name", name, "--mesh", "mesh", "--data-centre", zone,
         "--ip", "127.0.0.1", "--announce-port", "0", "--rows", store_address,
@@ -236,7 +240,8 @@
 
 
 def start_node(run, name, store, service, extra_flags=()):
-    """Such a node; ready once it has read the store's configuration."""
+    """Starts a node on the users' platform. It becomes ready once it has read
+    the configuration from the store."""
     return fleet.Process(run, name, "src/amaranthd/amaranthd",
                          [*node_flags(name, store.address, service),
                           *extra_flags])
@@ -253,9 +258,9 @@
 
 
 def wait_served(node, host, path):
-    """Waits until `path` is answered with 200 and returns that answer."""
-    def ask():
+    """Waits until a GET of `path` is answered with 200; returns that answer."""
+    def served_answer():
         answer = request(node.ports["caller"], "GET", path, host=host,
                          attempt=f"w{time.monotonic_ns()}")
         return answer if answer.status == 200 else None
-    return fleet.wait_until(ask, f"{path} is served by {node.name}")
+    return fleet.wait_until(served_answer, f"{path} is served by {node.name}")
--- a/testsuite/lost-platform-answer/run.py
+++ b/testsuite/lost-platform-answer/run.py
@@ -1,9 +1,9 @@
-"""Answers of the platform are lost after the write took effect.
+"""Answers of the platform are lost after the write has taken effect.
 
-The caller of a keyed renewal sees a normal answer: the node reads back that
-the claim is its own. A resend to another data centre gets the same answer
-from the key's home. An operator sees a normal answer too, and the change is
-in force once.
+The caller of a renewal with an idempotency key gets a normal answer: the node
+reads the claim back and finds that it is its own. A resend through another data
+centre gets the same answer from the home of the key. A settings change of an
+operator is accepted normally, too, and is applied once.
 """
 
 import sys
@@ -31,21 +31,23 @@
         ]
         fleet.wait_until(
             lambda: platform.counts()["answers_lost"] == lost_before + 1,
-            "an answer was lost")
+            "an answer of the platform is lost")
         for answer in answers:
             fleet.check(answer.status == 200, f"{token}: {answer}")
-            fleet.check(answer.body == answers[0].body, "the same answer")
+            fleet.check(answer.body == answers[0].body,
+                        f"{token}: a resend gets the same answer")
         runs = effects.runs_by_token(servers)[token]
         fleet.check(runs == 1, f"{token} ran {runs} times")
 
     before = nodes[0].settings_version()
-    # The snapshot's answer and the head's answer are both lost.
+    # Loses the answers to the writes of the snapshot and of the head.
     platform.fault(lose_answers=2)
     changed = nodes[0].set_settings(("default/catalogue", "deadline_ms",
                                      "1234"))
-    fleet.check(changed.status == 200, f"the change is taken: {changed}")
+    fleet.check(changed.status == 200, f"the change is accepted: {changed}")
     version = changed.json()["version"]
-    fleet.check(version == before + 1, f"one change: {before} to {version}")
+    fleet.check(version == before + 1,
+                f"the change is applied once: {before} to {version}")
     for node in nodes:
         fleet.wait_until(lambda: node.settings_version() == version,
                          f"{node.name} has version {version}", 5.0)
--- a/testsuite/platform-outage/run.py
+++ b/testsuite/platform-outage/run.py
@@ -1,10 +1,11 @@
-"""The platform is away for a while.
+"""The platform is unavailable for a while.
 
-Browsing goes on, and so do renewals that use a ticket, which needs no
-platform. A renewal with a key of the caller's own cannot be claimed: it is
-answered at once, with Retry-After, as "may have run", since an earlier asking
-through another node may have, and does not run. A node that starts meanwhile takes the settings from its peers. When the platform is back
-the same key runs, once.
+Browse requests are served, and so are renewals with a ticket, which needs no
+platform. A key chosen by the caller cannot be claimed: such a renewal is
+refused at once with Retry-After and does not run. Its verdict is "may have
+run", since an earlier request with the key through another node may have run. A
+node that starts during the outage gets the settings from its peers. Once the
+platform is available again the same key runs, once.
 """
 
 import sys
@@ -14,15 +15,16 @@
 import fleet
 
 
-def renew(node, token, key):
+def post_renewal(node, token, key):
     return calls.call_service(
         node, "catalogue", path=f"/{token}", method="POST", body=b"{}",
         token=token, key=key, deadline_ms=4000)
 
 
-def ticket(node):
-    answer = calls.call(node.callers, "/amaranth/v1/ticket", method="POST")
-    fleet.check(answer.status == 200, f"a ticket is minted: {answer}")
+def request_ticket(node):
+    answer = calls.http_request(node.caller_port, "/amaranth/v1/ticket",
+                                method="POST")
+    fleet.check(answer.status == 200, f"a ticket is issued: {answer}")
     return answer.json()["ticket"]
 
 
@@ -36,40 +38,44 @@
     run.wait_ready(servers)
     changed = nodes[0].set_settings(("default/catalogue/browse", "tier",
                                      "browse"))
-    fleet.check(changed.status == 200, f"settings are taken: {changed}")
+    fleet.check(changed.status == 200, f"settings are accepted: {changed}")
     version = changed.json()["version"]
-    fleet.check(renew(nodes[0], "early", "key-early").status == 200,
-                "a key is claimed while the platform is there")
+    fleet.check(post_renewal(nodes[0], "early", "key-early").status == 200,
+                "a key is claimed while the platform is available")
 
     platform.fault(mode="down")
     for number in range(20):
         answer = calls.call_service(nodes[number % 2], "catalogue")
-        fleet.check(answer.status == 200, f"browsing goes on: {answer}")
-    held = ticket(nodes[0])
-    first = renew(nodes[0], "ticket", held)
-    again = renew(nodes[1], "ticket", held)
+        fleet.check(answer.status == 200,
+                    f"browse is served in the outage: {answer}")
+    ticket = request_ticket(nodes[0])
+    first = post_renewal(nodes[0], "ticket", ticket)
+    resent = post_renewal(nodes[1], "ticket", ticket)
     fleet.check(first.status == 200, f"a ticket needs no platform: {first}")
-    fleet.check(again.body == first.body, f"resent to another node: {again}")
-    refused = renew(nodes[0], "keyed", "key-keyed")
-    print("keyed, platform away:", refused)
+    fleet.check(resent.body == first.body,
+                f"a resend gets the same answer: {resent}")
+    refused = post_renewal(nodes[0], "keyed", "key-keyed")
+    print("keyed renewal in the outage:", refused)
     fleet.check(refused.verdict == "may-have-run" and
                 refused.reason == "platform-down" and
                 refused.header("Retry-After"),
-                f"whose key it is cannot be told: {refused}")
-    fleet.check(refused.seconds < 3, "it is answered at once")
+                f"refused with an unknown outcome: {refused}")
+    fleet.check(refused.seconds < 3, "it is refused within 3 s")
     fleet.check(effects.runs_by_token(servers)["keyed"] == 0, "it did not run")
 
-    late = run.start_node("a2", "bilbao-a")
-    fleet.wait_until(late.is_ready, "a new node is ready from its peers")
-    fleet.check(late.settings_version() >= version,
-                "the new node has the settings in force")
+    late_node = run.start_node("a2", "bilbao-a")
+    fleet.wait_until(late_node.is_ready,
+                     "a new node is ready without the platform")
+    fleet.check(late_node.settings_version() >= version,
+                "the new node has the current settings")
 
     platform.fault(mode="ok")
-    fleet.wait_until(lambda: renew(nodes[0], "keyed", "key-keyed").status == 200,
-                     "the key runs once the platform is back")
+    fleet.wait_until(
+        lambda: post_renewal(nodes[0], "keyed", "key-keyed").status == 200,
+        "the key runs after the outage")
     for node in nodes:
-        fleet.check(renew(node, "keyed", "key-keyed").status == 200,
-                    f"{node.name} gives the remembered answer")
+        fleet.check(post_renewal(node, "keyed", "key-keyed").status == 200,
+                    f"{node.name} returns the stored answer")
     runs = effects.runs_by_token(servers)
     fleet.check(runs["keyed"] == 1 and runs["ticket"] == 1,
                 f"each ran once: {runs}")
--- a/testsuite/racing-operators/run.py
+++ b/testsuite/racing-operators/run.py
@@ -1,9 +1,9 @@
-"""Two operators change the same setting at once, through different nodes.
+"""Two operators concurrently change the same setting through different nodes.
 
-Both name the version that they saw. One is told that the change is accepted,
-the other that it lost, with the version in force. The winner's value is in
-force everywhere within seconds, and no node ever goes back to an older
-version, however often this is repeated.
+Both send the version that they have read as the expected version. One change is
+accepted, the other gets a conflict. The accepted value reaches every node
+within seconds, and no node ever returns to an older version, however often this
+is repeated.
 """
 
 import sys
@@ -12,29 +12,29 @@
 import fleet
 
 ROUNDS = 8
-IN_FORCE_SECONDS = 5.0
+PROPAGATION_SECONDS = 5.0
 PATH = "default/catalogue/browse"
 
 
-class VersionWatch:
-    """Reads the versions of all nodes all the time; keeps any step back."""
+class VersionMonitor:
+    """Polls the settings versions of all nodes and records any decrease."""
 
     def __init__(self, nodes):
-        self.steps_back = []
+        self.regressions = []
         self._stopped = threading.Event()
         self._threads = [
-            threading.Thread(target=self._watch, args=(node,), daemon=True)
+            threading.Thread(target=self._poll, args=(node,), daemon=True)
             for node in nodes
         ]
         for thread in self._threads:
             thread.start()
 
-    def _watch(self, node):
+    def _poll(self, node):
         highest = 0
         while not self._stopped.wait(0.01):
             version = node.settings_version()
             if version < highest:
-                self.steps_back.append((node.name, highest, version))
+                self.regressions.append((node.name, highest, version))
             highest = max(highest, version)
 
     def stop(self):
@@ -43,7 +43,7 @@
             thread.join()
 
 
-def change(node, version, value, answers):
+def change_setting(node, version, value, answers):
     body = {
         "author": value,
         "expected_version": version,
@@ -52,7 +52,7 @@
     answers.append((value, node.operator("/settings", "POST", body, 30.0)))
 
 
-def value_in_force(node):
+def current_value(node):
     settings = node.operator(f"/settings?path={PATH}").json()["settings"]
     return next(s["value"] for s in settings if s["name"] == "deadline_ms")
 
@@ -61,7 +61,7 @@
     version = max(node.settings_version() for node in nodes)
     answers = []
     threads = [
-        threading.Thread(target=change,
+        threading.Thread(target=change_setting,
                          args=(node, version, str(1000 + 10 * number + index),
                                answers))
         for index, node in enumerate(nodes[:2])
@@ -72,11 +72,13 @@
         thread.join()
     winners = [value for value, answer in answers if answer.status == 200]
     losers = [answer for _, answer in answers if answer.status == 409]
-    told = [(value, a.status, a.body) for value, a in answers]
-    fleet.check(len(winners) == 1 and len(losers) == 1, f"one winner: {told}")
+    outcomes = [(value, a.status, a.body) for value, a in answers]
+    fleet.check(len(winners) == 1 and len(losers) == 1,
+                f"one accepted, one conflict: {outcomes}")
     for node in nodes:
-        fleet.wait_until(lambda: value_in_force(node) == winners[0],
-                         f"{node.name} has {winners[0]}", IN_FORCE_SECONDS)
+        fleet.wait_until(lambda: current_value(node) == winners[0],
+                         f"{node.name} has the value {winners[0]}",
+                         PROPAGATION_SECONDS)
 
 
 def case(run):
@@ -87,11 +89,12 @@
         run.start_node("a2", "bilbao-a"),
     ]
     run.wait_ready([])
-    watch = VersionWatch(nodes)
+    monitor = VersionMonitor(nodes)
     for number in range(ROUNDS):
         race(nodes, number)
-    watch.stop()
-    fleet.check(not watch.steps_back, f"versions only rise: {watch.steps_back}")
+    monitor.stop()
+    fleet.check(not monitor.regressions,
+                f"versions never decrease: {monitor.regressions}")
 
 
 if __name__ == "__main__":
--- a/testsuite/record-replay/run.py
+++ b/testsuite/record-replay/run.py
@@ -1,9 +1,10 @@
-"""Two real nodes record what happens to them; both logs are replayed.
+"""Two nodes record their events, and both logs are replayed.
 
-The callers see ordinary answers: reads, a keyed renewal and its resend, an
-unknown service. Afterwards `amaranthctl replay` drives a fresh reducer with
-each log, and every event must have the effects it had in the live node: what
-the product decided can be studied without a network.
+The requests are reads, a renewal with an idempotency key and its resend, and
+one for an unknown service; recording must not alter their answers. Afterwards
+`amaranthctl replay` feeds each log to a new reducer, and every event must have
+the same effects as in the node, so that the decisions of a node can be examined
+without a network.
 """
 
 import subprocess
@@ -49,7 +50,7 @@
     for node in nodes:
         node.wait_exit()
     for log in logs.values():
-        fleet.check(replay(log) > 50, f"{log.name} has events")
+        fleet.check(replay(log) > 50, f"{log.name} has more than 50 events")
 
 
 if __name__ == "__main__":
--- a/testsuite/rolling-replacement/run.py
+++ b/testsuite/rolling-replacement/run.py
@@ -1,9 +1,9 @@
-"""All nodes and servers are replaced one by one, under load.
+"""All nodes and servers are replaced one by one under load.
 
-A new host joins, then the servers of an old one leave and end, then its node
-is asked to stop. Callers see whole answers only. A caller that still reaches
-a node after it was asked to stop is told that its request was not run, and
-sends it elsewhere; nothing that was in flight is cut.
+A new host joins, then the servers of an old host leave and end, then its node
+gets SIGTERM. Every request gets a complete answer, except those that reach a
+node after its SIGTERM: they are refused as not run with the reason draining, so
+that the caller can resend them to another node. No request in flight is lost.
 """
 
 import sys
@@ -28,18 +28,19 @@
         ]
 
 
-def replace(run, old, new, hosts, ports):
-    names = [server for host in hosts for server in host.servers]
-    run.wait_ready(names)
-    ports.append(new.node.callers)
-    ports.remove(old.node.callers)
+def replace_host(run, old, new, hosts, ports):
+    servers = [server for host in hosts for server in host.servers]
+    run.wait_ready(servers)
+    ports.append(new.node.caller_port)
+    ports.remove(old.node.caller_port)
     for server in old.servers:
         server.terminate()
     for server in old.servers:
-        fleet.check(server.wait_exit() == 0, f"{server.name} ends cleanly")
+        fleet.check(server.wait_exit() == 0, f"{server.name} exits with 0")
     old.node.terminate()
     code = old.node.wait_exit()
-    fleet.check(code == 0, f"{old.node.name} drains and ends, not with {code}")
+    fleet.check(code == 0,
+                f"{old.node.name} drains and exits with 0, not {code}")
 
 
 def case(run):
@@ -47,35 +48,37 @@
     hosts = [Host(run, "a1", "bilbao-a"), Host(run, "a2", "bilbao-a"),
              Host(run, "d1", "donostia")]
     run.wait_ready([server for host in hosts for server in host.servers])
-    ports = [host.node.callers for host in hosts]
+    ports = [host.node.caller_port for host in hosts]
     load = calls.LoadRun(
         lambda: list(ports),
         [calls.Load("catalogue", "browse", "GET", 80),
          calls.Load("catalogue", "renewal", "POST", 40)],
         workers=32,
     )
-    fleet.wait_until(lambda: load.count() >= 100, "load flows")
+    fleet.wait_until(lambda: load.count() >= 100, "load is running")
     for number, old in enumerate(list(hosts)):
         new = Host(run, f"new{number}", old.node.data_centre)
         hosts.append(new)
-        replace(run, old, new, hosts, ports)
+        replace_host(run, old, new, hosts, ports)
         hosts.remove(old)
-        seen = load.count()
-        fleet.wait_until(lambda: load.count() >= seen + 100, "load goes on")
+        count_before = load.count()
+        fleet.wait_until(lambda: load.count() >= count_before + 100,
+                         "load continues")
     answers = load.stop()
 
-    late = 0
+    refused = 0
     for name, class_answers in answers.items():
-        whole = []
+        complete = []
         for token, answer in class_answers:
             if answer.verdict == "not-run" and answer.reason == "draining":
-                late += 1
+                refused += 1
             else:
-                whole.append((token, answer))
-        effects.check_all_whole(whole, SERVICES)
-        print(f"{name}: {len(whole)} whole")
-    print(f"told that the node is draining: {late}")
-    fleet.check(late <= 32, "only calls already on their way met a draining node")
+                complete.append((token, answer))
+        effects.check_all_complete(complete, SERVICES)
+        print(f"{name}: {len(complete)} complete answers")
+    print(f"refused as draining: {refused}")
+    fleet.check(refused <= 32,
+                "only requests already in flight reach a draining node")
 
 
 if __name__ == "__main__":
--- a/testsuite/silent-connection/run.py
+++ b/testsuite/silent-connection/run.py
@@ -1,10 +1,11 @@
-"""Open connections to a backend server go silent while new ones work.
-
-The node's pooled connections to the server pass through a proxy that
-forgets them: bytes go nowhere, nobody is told. Callers who browse see whole
-answers, late at most by the progress deadline, since the node tries a fresh
-connection. A POST whose bytes went into the silent connection may have run,
-as far as the node can tell; it is never run twice. Soon all is as before.
+"""Open connections to a backend server are blackholed while new ones work.
+
+The pooled connections of the node to the server pass through a proxy that drops
+their bytes without notifying either side. Browse requests still receive
+complete answers, delayed at most by the attempt timeout, since the node retries
+on a new connection. A POST sent on a blackholed connection may have run as far
+as the node can know, so it never runs twice. All requests are served again
+shortly after.
 """
 
 import sys
@@ -15,19 +16,20 @@
 import fleet
 import faulty_proxy
 
-WARM_UP = 16
+REQUESTS = 16
 
 
-def get(node, token, answers):
+def get_browse(node, token, answers):
     answers.append((token, calls.call_service(
         node, "catalogue", path=f"/{token}", token=token, deadline_ms=9000,
         timeout=12.0)))
 
 
-def at_once(node, prefix, count):
+def get_concurrently(node, prefix, count):
     answers = []
     threads = [
-        threading.Thread(target=get, args=(node, f"{prefix}-{n}", answers))
+        threading.Thread(target=get_browse,
+                         args=(node, f"{prefix}-{n}", answers))
         for n in range(count)
     ]
     for thread in threads:
@@ -38,7 +40,11 @@
 
 
 def start_behind_proxy(run, node):
-    """The server's port must be known before it announces the proxy's."""
+    """Starts a server that announces the address of a proxy in front of it.
+
+    The proxy needs the port of the server first: a short-lived probe server
+    provides a free one.
+    """
     probe = run.start_backend("probe", "unused", node)
     port = probe.port
     probe.kill()
@@ -55,21 +61,22 @@
     proxy, server = start_behind_proxy(run, nodes[1])
     run.wait_ready([server])
 
-    warm = at_once(nodes[0], "warm", WARM_UP)
-    effects.check_all_whole(warm, ["catalogue"])
-    silenced = proxy.silence_open_connections()
-    fleet.check(silenced > 0, "the node keeps connections open")
+    warm = get_concurrently(nodes[0], "warm", REQUESTS)
+    effects.check_all_complete(warm, ["catalogue"])
+    blackholed = proxy.blackhole_open_connections()
+    fleet.check(blackholed > 0, "the node pools connections")
 
-    after = at_once(nodes[0], "after", WARM_UP)
+    after = get_concurrently(nodes[0], "after", REQUESTS)
     slowest = max(answer.seconds for _, answer in after)
-    print(f"silenced {silenced} connections; slowest answer {slowest:.2f} s; "
+    print(f"blackholed {blackholed} connections; slowest {slowest:.2f} s; "
           f"{[(a.status, a.verdict, a.reason) for _, a in after]}")
-    effects.check_all_whole(after, ["catalogue"])
-    fleet.check(proxy.swallowed_bytes > 0, "requests went into silence")
+    effects.check_all_complete(after, ["catalogue"])
+    fleet.check(proxy.dropped_bytes > 0,
+                "requests were sent on blackholed connections")
 
-    fresh = at_once(nodes[0], "fresh", WARM_UP)
-    effects.check_all_whole(fresh, ["catalogue"])
-    proxy.silence_open_connections()
+    fresh = get_concurrently(nodes[0], "fresh", REQUESTS)
+    effects.check_all_complete(fresh, ["catalogue"])
+    proxy.blackhole_open_connections()
     posts = [
         (f"post-{n}", calls.call_service(
             nodes[0], "catalogue", path=f"/post-{n}", method="POST",
@@ -77,10 +84,11 @@
         for n in range(4)
     ]
     print([(a.status, a.verdict, a.reason) for _, a in posts])
-    effects.check_told_truth(posts, [server], once=True)
+    effects.check_verdicts(posts, [server], once=True)
     fleet.wait_until(
-        lambda: all(a.status == 200 for _, a in at_once(nodes[0], "end", 8)),
-        "all is as before")
+        lambda: all(a.status == 200
+                    for _, a in get_concurrently(nodes[0], "end", 8)),
+        "all requests are served again")
 
 
 if __name__ == "__main__":
--- a/testsuite/soak/faults.py
+++ b/testsuite/soak/faults.py
@@ -1,5 +1,9 @@
-"""Faults, each a generator: what stands before its yield begins it, the yield
-gives how long it lasts, what stands after ends it. They overlap."""
+"""Faults and the schedule that injects them.
+
+Each fault is a generator: the code before its yield starts the fault, the yield
+returns its duration in seconds, and the code after the yield ends it. Faults
+overlap.
+"""
 
 import random
 import signal
@@ -9,45 +13,47 @@
 import fleet
 
 
-def kill_node(system, place, rng):
-    place.node.kill()
+def kill_node(system, host, rng):
+    host.node.kill()
     yield rng.uniform(0.1, 1.5)
-    place.start_node()
+    host.start_node()
 
 
-def stop_node(system, place, rng):
-    """SIGTERM beside a living server; its successor at once."""
-    place.node.terminate()
+def stop_node(system, host, rng):
+    """Stops the node by SIGTERM while its server runs on, and restarts it once
+    it has exited. Sometimes sends SIGHUP during the drain."""
+    host.node.terminate()
     if rng.random() < 0.3:
         time.sleep(0.2)
-        place.node.signal(signal.SIGHUP)
+        host.node.signal(signal.SIGHUP)
     yield rng.uniform(0.0, 0.5)
-    place.node.wait_exit(20)
-    place.start_node()
+    host.node.wait_exit(20)
+    host.start_node()
 
 
-def pause_node(system, place, rng):
-    place.node.pause()
+def pause_node(system, host, rng):
+    host.node.pause()
     yield rng.uniform(0.3, 3.0)
-    place.node.resume()
+    host.node.resume()
 
 
-def hang_up(system, place, rng):
-    for other in system.places:
+def send_sighup(system, host, rng):
+    for other in system.hosts:
         other.node.signal(signal.SIGHUP)
     yield 0.0
 
 
-def crash_server(system, place, rng):
-    """Comes back under a new name, or under its old one."""
-    place.worker.crash()
+def crash_server(system, host, rng):
+    """Crashes the server, then starts one under a new name or the old one."""
+    host.worker.crash()
     yield rng.uniform(0.1, 1.0)
-    place.start_worker(place.worker.name if rng.random() < 0.5 else None)
+    host.start_worker(host.worker.name if rng.random() < 0.5 else None)
 
 
-def replace_server(system, place, rng):
-    """The planned way: it drains, leaves and ends; a new one takes its place."""
-    old = place.worker
+def replace_server(system, host, rng):
+    """Replaces the server as planned work: it drains, leaves and ends before a
+    new one starts."""
+    old = host.worker
     old.state = "draining"
     yield 3.5 + rng.uniform(0.0, 1.5)
     try:
@@ -55,103 +61,105 @@
     except OSError:
         pass
     old.crash()
-    place.start_worker()
+    host.start_worker()
 
 
-def harm_server_link(system, place, rng):
-    proxy = place.worker.proxy
-    how = rng.choice(["delay", "reset", "near", "far", "both"])
-    if how == "delay":
+def impair_server_link(system, host, rng):
+    proxy = host.worker.proxy
+    kind = rng.choice(["delay", "reset", "client", "server", "both"])
+    if kind == "delay":
         proxy.delay = rng.uniform(0.02, 0.4)
-    elif how == "reset":
+    elif kind == "reset":
         proxy.reset_all()
     else:
-        proxy.silent_to = {"near", "far"} if how == "both" else {how}
+        proxy.drop_to = {"client", "server"} if kind == "both" else {kind}
     yield rng.uniform(0.2, 2.5)
     proxy.delay = 0.0
-    if proxy.silent_to:
-        proxy.heal()
+    if proxy.drop_to:
+        proxy.clear_faults()
 
 
-def harm_store_link(system, place, rng):
+def impair_store_link(system, host, rng):
     link = system.store_link
     if rng.random() < 0.5:
-        link.silent_to = {"near"} if rng.random() < 0.5 else {"near", "far"}
+        link.drop_to = {"client"} if rng.random() < 0.5 else {
+            "client", "server"}
     else:
         link.delay = rng.uniform(0.1, 0.8)
     yield rng.uniform(0.5, 4.0)
-    link.heal()
+    link.clear_faults()
 
 
-def store_away(system, place, rng):
-    system.store.go_away()
+def make_store_unavailable(system, host, rng):
+    system.store.make_unavailable()
     yield rng.uniform(0.3, 4.0)
-    system.store.come_back()
+    system.store.make_available()
 
 
-def change_config(system, place, rng):
+def change_config(system, host, rng):
     for _ in range(rng.randint(1, 4)):
         system.change_config()
         time.sleep(rng.uniform(0.0, 0.3))
     yield 0.0
 
 
-# Work that an operator plans: no request may be lost by it.
-PLANNED = [stop_node, hang_up, replace_server, change_config]
-UNPLANNED = [kill_node, pause_node, crash_server, harm_server_link,
-             harm_store_link, store_away]
-# Faults that start or end a process or a server: one at a time on a host.
+# Planned work of an operator, during which no request may be lost.
+PLANNED = [stop_node, send_sighup, replace_server, change_config]
+UNPLANNED = [kill_node, pause_node, crash_server, impair_server_link,
+             impair_store_link, make_store_unavailable]
+# Faults that pause, start or end a process or server: one at a time per host.
 EXCLUSIVE = {kill_node, stop_node, pause_node, crash_server, replace_server}
 
 
 class Schedule:
-    """Begins faults at random times until `seconds` are over."""
+    """Injects random faults at random times."""
 
     def __init__(self, system, rng, planned_only):
         self._system, self._rng = system, rng
         self._faults = PLANNED if planned_only else PLANNED + UNPLANNED
-        self._busy = {place.name: threading.Lock() for place in system.places}
-        # Planned work takes one host at a time, as operators do.
-        self._planned = threading.Lock()
+        self._host_locks = {host.name: threading.Lock()
+                            for host in system.hosts}
+        # Planned work is done on one host at a time.
+        self._planned_lock = threading.Lock()
         self._planned_only = planned_only
-        self._running = []
-        self._since = time.monotonic()
+        self._threads = []
+        self._started = time.monotonic()
 
     def run(self, seconds):
-        end = self._since + seconds
+        end = self._started + seconds
         while time.monotonic() < end:
             time.sleep(self._rng.uniform(0.1, 0.9))
             fault = self._rng.choice(self._faults)
-            place = self._rng.choice(self._system.places)
+            host = self._rng.choice(self._system.hosts)
             seed = self._rng.random()
-            thread = threading.Thread(target=self._play,
-                                      args=(fault, place, seed), daemon=True)
+            thread = threading.Thread(target=self._run_if_free,
+                                      args=(fault, host, seed), daemon=True)
             thread.start()
-            self._running.append(thread)
-        for thread in self._running:
+            self._threads.append(thread)
+        for thread in self._threads:
             thread.join(30)
 
-    def _play(self, fault, place, seed):
-        locks = [self._busy[place.name]] if fault in EXCLUSIVE else []
+    def _run_if_free(self, fault, host, seed):
+        locks = [self._host_locks[host.name]] if fault in EXCLUSIVE else []
         if self._planned_only and fault in EXCLUSIVE:
-            locks.insert(0, self._planned)
-        taken = [lock for lock in locks if lock.acquire(blocking=False)]
+            locks.insert(0, self._planned_lock)
+        acquired = [lock for lock in locks if lock.acquire(blocking=False)]
         try:
-            if len(taken) == len(locks):
-                self._carry_out(fault, place, random.Random(seed))
+            if len(acquired) == len(locks):
+                self._inject(fault, host, random.Random(seed))
         finally:
-            for lock in taken:
+            for lock in acquired:
                 lock.release()
 
-    def _carry_out(self, fault, place, rng):
-        at = time.monotonic() - self._since
-        playing = fault(self._system, place, rng)
+    def _inject(self, fault, host, rng):
+        at = time.monotonic() - self._started
+        steps = fault(self._system, host, rng)
         try:
-            lasts = next(playing)
+            duration = next(steps)
             self._system.record.faults.append(
-                f"{at:6.2f} {fault.__name__} {place.name} {lasts:.2f} s")
-            time.sleep(lasts)
-            for _ in playing:
+                f"{at:6.2f} {fault.__name__} {host.name} {duration:.2f} s")
+            time.sleep(duration)
+            for _ in steps:
                 pass
         except fleet.CaseFailed as error:
-            self._system.record.violate("processes", str(error))
+            self._system.record.add_violation("processes", str(error))
--- a/testsuite/soak/record.py
+++ b/testsuite/soak/record.py
@@ -1,105 +1,113 @@
-"""What callers and backend servers saw, and the promises checked on it."""
+"""Observations of callers and backend servers, and rules checked on them."""
 
 import collections
 import threading
 
-# "Has not run and never will."
-PROMISES = {408, 421, 429, 503}
+# Statuses by which a node states that the request has not run and never will.
+NOT_RUN_STATUSES = {408, 421, 429, 503}
 DRAIN_SECONDS = 2.0
-# For a harness whose threads share one interpreter with a busy machine. A call
-# that reaches a server later than this after its leave is no matter of timing:
-# nothing in a node waits that long once it has acknowledged.
+# Allows for scheduling delays of the harness, whose threads share one
+# interpreter on a busy machine. A call that reaches a server later than both
+# times together is a fault of the node: it holds no call that long after it has
+# acknowledged that the server drains.
 DRAIN_SLACK_SECONDS = 3.0
 
 
-class Sent:
-    """One attempt of a caller."""
+class SentRequest:
+    """One request of a caller, identified by its attempt id."""
 
-    def __init__(self, attempt, service, unsafe, node):
+    def __init__(self, attempt, service, non_idempotent, node):
         self.attempt, self.service = attempt, service
-        self.unsafe, self.node = unsafe, node
-        self.status = None  # None: no answer
-        self.error = ""  # in its place, and when
+        self.non_idempotent, self.node = non_idempotent, node
+        self.status = None  # None if there was no answer
+        self.error = ""  # why and when there was no answer
         self.cancelled = False
 
 
 class Record:
     def __init__(self):
         self._lock = threading.Lock()
-        self.sent = {}
-        self.arrivals = collections.defaultdict(list)  # attempt: services
-        self.closed_early = set()  # attempts whose server saw the caller leave
-        self.ran_out = set()
+        self.requests = {}
+        self.arrivals = collections.defaultdict(list)  # services by attempt id
+        self.cancelled_at_server = set()  # attempt ids
+        self.ran_to_end = set()  # attempt ids of slow requests
         self.faults = []
         self.violations = []
 
-    def violate(self, rule, text):
+    def add_violation(self, rule, text):
         with self._lock:
             self.violations.append(f"{rule}: {text}")
 
-    def add_sent(self, sent):
+    def add_request(self, request):
         with self._lock:
-            self.sent[sent.attempt] = sent
+            self.requests[request.attempt] = request
 
-    def add_arrival(self, attempt, service, server, since_leave):
+    def add_arrival(self, attempt, service, server, since_draining):
         with self._lock:
             self.arrivals[attempt].append(service)
-        if since_leave is None:
+        if since_draining is None:
             return
-        if since_leave > DRAIN_SECONDS + DRAIN_SLACK_SECONDS:
-            self.violate("drain", f"{attempt} reached {server} "
-                         f"{since_leave:.2f} s after its leave was heard")
+        if since_draining > DRAIN_SECONDS + DRAIN_SLACK_SECONDS:
+            self.add_violation("drain", f"{attempt} reached {server} "
+                               f"{since_draining:.2f} s after its draining "
+                               "was acknowledged")
 
-    def check_answer(self, sent, answer, path):
-        """Of one caller's answer, as it comes."""
-        sent.status = answer.status
+    def check_answer(self, request, answer, path):
+        """Checks the answer to one request when it arrives."""
+        request.status = answer.status
         if answer.status == 404:
-            self.violate("routes", f"{sent.attempt} for {path} got 404 "
-                         f"from {sent.node}")
+            self.add_violation("routes", f"{request.attempt} for {path} got "
+                               f"404 from {request.node}")
         if answer.status != 200:
             return
-        whole = f"{sent.service}:{path}"
-        if answer.body != whole or not answer.headers.get("Response-Sig"):
-            self.violate("own answers", f"{sent.attempt} for {path} got "
-                         f"{answer.body[:80]!r}")
-        if answer.headers.get("Attempt-Id") != sent.attempt:
-            self.violate("own answers", f"{sent.attempt} got the answer of "
-                         f"{answer.headers.get('Attempt-Id')}")
+        expected_body = f"{request.service}:{path}"
+        if answer.body != expected_body or \
+                not answer.headers.get("Response-Sig"):
+            self.add_violation("own answers", f"{request.attempt} for {path} "
+                               f"got {answer.body[:80]!r}")
+        if answer.headers.get("Attempt-Id") != request.attempt:
+            self.add_violation("own answers", f"{request.attempt} got the "
+                               f"answer of {answer.headers.get('Attempt-Id')}")
 
-    def check_end(self, seconds, ratio, slack, window, planned_only):
-        """Of all that was seen, when nothing moves any more."""
-        for attempt, sent in self.sent.items():
+    def check_totals(self, seconds, ratio, slack, window, planned_only):
+        """Checks all observations once nothing is in flight any more."""
+        for attempt, request in self.requests.items():
             runs = len(self.arrivals.get(attempt, ()))
-            if sent.unsafe and runs > 1:
-                self.violate("at most once", f"{attempt} ran {runs} times")
-            if sent.unsafe and sent.status in PROMISES and runs > 0:
-                self.violate("promise", f"{attempt} was answered "
-                             f"{sent.status} and ran")
-            lost = sent.status is None and not sent.cancelled and runs > 0
+            if request.non_idempotent and runs > 1:
+                self.add_violation("at most once",
+                                   f"{attempt} ran {runs} times")
+            if request.non_idempotent and \
+                    request.status in NOT_RUN_STATUSES and runs > 0:
+                self.add_violation("promise", f"{attempt} was answered "
+                                   f"{request.status} and ran")
+            lost = request.status is None and not request.cancelled and runs > 0
             if planned_only and lost:
-                self.violate("answers", f"{attempt} ran and {sent.node} gave "
-                             f"no answer during planned work: {sent.error}")
+                self.add_violation(
+                    "answers", f"{attempt} ran and {request.node} gave no "
+                    f"answer during planned work: {request.error}")
         self._check_retries(seconds, ratio, slack, window)
         self._check_cancels()
 
     def _check_retries(self, seconds, ratio, slack, window):
-        asked = collections.Counter()
-        again = collections.Counter()
-        for sent in self.sent.values():
-            asked[sent.service] += 1
+        request_counts = collections.Counter()
+        repeat_counts = collections.Counter()
+        for request in self.requests.values():
+            request_counts[request.service] += 1
         for services in self.arrivals.values():
-            again[services[0]] += len(services) - 1
-        for service, repeats in again.items():
-            bound = ratio * asked[service] + slack * (1 + seconds / window)
+            repeat_counts[services[0]] += len(services) - 1
+        for service, repeats in repeat_counts.items():
+            bound = ratio * request_counts[service] + slack * (
+                1 + seconds / window)
             if repeats > bound:
-                self.violate("retries", f"{repeats} repeats at {service}, "
-                             f"{bound:.0f} allowed")
+                self.add_violation("retries", f"{repeats} repeats at "
+                                   f"{service}, {bound:.0f} allowed")
 
     def _check_cancels(self):
-        cancelled = {sent.attempt for sent in self.sent.values()
-                     if sent.cancelled}
-        left = len(cancelled & self.closed_early)
-        ran_out = len(cancelled & self.ran_out)
-        if ran_out > 2 and ran_out > left:
-            self.violate("cancel", f"{ran_out} requests ran to their end after "
-                         f"their callers had left, {left} were ended")
+        cancelled = {request.attempt for request in self.requests.values()
+                     if request.cancelled}
+        stopped = len(cancelled & self.cancelled_at_server)
+        ran_to_end = len(cancelled & self.ran_to_end)
+        if ran_to_end > 2 and ran_to_end > stopped:
+            self.add_violation(
+                "cancel", f"{ran_to_end} requests ran to the end after their "
+                f"callers had left, {stopped} were cancelled")
--- a/testsuite/soak/run.py
+++ b/testsuite/soak/run.py
@@ -1,13 +1,13 @@
-"""A randomized soak: real nodes as processes, faults from outside, and the
-promises checked from what callers and backend servers see.
+"""A randomized soak test: real nodes as processes, injected faults, and rules
+checked on what callers and backend servers observe.
 
     run.py                          the short run of CI: kept seeds and two more
     run.py --seed 7 --seconds 30    one seed
-    run.py --seeds 100:150          many, by hand
+    run.py --seeds 100:150          a range of seeds
 
-Odd seeds play planned work alone, and then no request that ran may be left
-without its answer. A seed decides which faults are drawn, not how threads take
-turns: a failure prints the faults as they were played.
+Odd seeds inject planned work only, and then every request that ran must be
+answered. A seed determines the faults drawn but not the scheduling of threads,
+so a failed run prints its faults with their times.
 """
 
 import argparse
@@ -30,87 +30,89 @@
 KEPT_SEEDS = pathlib.Path(__file__).with_name("kept_seeds.txt")
 
 
-# Rules with a time in them.
+# Rules that depend on time limits.
 TIMED_RULES = ("drain", "answers", "cancel", "recovery")
-MOST_LAG_SECONDS = 1.0
+MAX_LAG_SECONDS = 1.0
 
 
-class LagWatch(threading.Thread):
-    """How long this machine has left the harness, and so likely the nodes,
-    without processor time. Nodes that stand still for seconds keep no promise
-    that has a time in it, and none is made for them then."""
+class SchedulingLagMonitor(threading.Thread):
+    """Measures `max_lag`, the longest time in seconds for which the harness,
+    and so probably the nodes, got no processor time. Nodes that are not
+    scheduled for seconds cannot keep time limits, which do not apply then."""
 
     def __init__(self):
         super().__init__(daemon=True)
-        self.most = 0.0
+        self.max_lag = 0.0
 
     def run(self):
         while True:
-            begun = time.monotonic()
+            started = time.monotonic()
             time.sleep(0.05)
-            self.most = max(self.most, time.monotonic() - begun - 0.05)
+            self.max_lag = max(self.max_lag, time.monotonic() - started - 0.05)
 
 
-def judged(violations, lag):
-    """What counts of `violations`; names what it leaves out."""
-    if lag <= MOST_LAG_SECONDS:
+def enforced_violations(violations, lag):
+    """Returns `violations` without those of timed rules if `lag` is above
+    MAX_LAG_SECONDS, and prints those left out."""
+    if lag <= MAX_LAG_SECONDS:
         return violations
     timed = [text for text in violations if text.startswith(TIMED_RULES)]
-    print(f"not judged: {len(timed)} violations of rules with a time, as the "
-          f"machine gave no time for {lag:.1f} s: {timed[:3]}")
+    print(f"ignored: {len(timed)} violations of rules with time limits, as the "
+          f"harness got no processor time for {lag:.1f} s: {timed[:3]}")
     return [text for text in violations if text not in timed]
 
 
 def kept_seeds():
-    """Seeds that failed once; a line is the seed and a word on the cause."""
+    """Reads the seeds that once failed; each line is a seed and its cause."""
     lines = KEPT_SEEDS.read_text().splitlines()
     return [int(line.split()[0]) for line in lines
             if line and not line.startswith("#")]
 
 
 def check_recovery(system):
-    """Once faults have ended, all is served again and settings are in force."""
-    system.heal()
-    for place in system.places:
-        fleet.wait_until(place.ready, f"{place.name} is ready again", 30)
+    """Checks that after all faults every node becomes ready, every service is
+    served and the newest routes are in force."""
+    system.clear_faults()
+    for host in system.hosts:
+        fleet.wait_until(host.is_ready, f"{host.name} is ready again", 30)
         for path in ("/front/end", "/pay/end", "/deep/end",
                      f"/v{system.version}/end"):
-            platform.wait_served(place.node, systems.HOST, path)
+            platform.wait_served(host.node, systems.ROUTE_HOST, path)
 
 
-def play(seed, seconds):
-    """One run; returns what was violated, and the faults played."""
+def run_seed(seed, seconds):
+    """Runs one seed; returns its Record with the violations and the faults."""
     planned_only = seed % 2 == 1
     rng = random.Random(seed)
     record = records.Record()
-    lag = LagWatch()
+    lag = SchedulingLagMonitor()
     lag.start()
     with fleet.Fleet(f"soak-{seed}") as run:
         system = systems.System(run, record)
-        platform.wait_ready([place.node for place in system.places])
+        platform.wait_ready([host.node for host in system.hosts])
         for path in ("/front/w", "/pay/w", "/deep/w"):
-            platform.wait_served(system.places[0].node, systems.HOST, path)
-        stop = threading.Event()
-        threads = [callers.Caller(number, seed, system, stop)
+            platform.wait_served(system.hosts[0].node, systems.ROUTE_HOST, path)
+        stop_event = threading.Event()
+        threads = [callers.Caller(number, seed, system, stop_event)
                    for number in range(CALLERS)]
-        threads += [callers.ConfigWatcher(place, system, stop)
-                    for place in system.places]
+        threads += [callers.ConfigWatcher(host, system, stop_event)
+                    for host in system.hosts]
         for thread in threads:
             thread.start()
         faults.Schedule(system, rng, planned_only).run(seconds)
         try:
             check_recovery(system)
         except fleet.CaseFailed as error:
-            record.violate("recovery", str(error))
-        stop.set()
+            record.add_violation("recovery", str(error))
+        stop_event.set()
         for thread in threads:
             thread.join(callers.TIMEOUT_SECONDS + 5)
-        record.check_end(seconds, platform.RETRY_RATIO, systems.RETRY_SLACK,
-                         platform.RETRY_WINDOW_SECONDS, planned_only)
-        for place in system.places:
-            place.worker.state = "dead"
-            place.node.kill()
-        record.violations = judged(record.violations, lag.most)
+        record.check_totals(seconds, platform.RETRY_RATIO, systems.RETRY_SLACK,
+                            platform.RETRY_WINDOW_SECONDS, planned_only)
+        for host in system.hosts:
+            host.worker.state = "dead"
+            host.node.kill()
+        record.violations = enforced_violations(record.violations, lag.max_lag)
         if record.violations:
             keep_logs(run, seed)
     return record
@@ -124,10 +126,10 @@
 
 
 def report(seed, record):
-    served = sum(sent.status == 200 for sent in record.sent.values())
+    served = sum(request.status == 200 for request in record.requests.values())
     verdict = "FAILED" if record.violations else "passed"
-    print(f"{verdict} seed {seed}: {len(record.sent)} requests, {served} served, "
-          f"{len(record.faults)} faults", flush=True)
+    print(f"{verdict} seed {seed}: {len(record.requests)} requests, "
+          f"{served} served, {len(record.faults)} faults", flush=True)
     if not record.violations:
         return
     for violation in record.violations[:20]:
@@ -150,7 +152,7 @@
         seeds = range(int(first), int(last))
     failed = []
     for seed in seeds:
-        record = play(seed, options.seconds)
+        record = run_seed(seed, options.seconds)
         report(seed, record)
         if record.violations:
             failed.append(seed)
--- a/testsuite/soak/system.py
+++ b/testsuite/soak/system.py
@@ -1,5 +1,5 @@
-"""The system under test: nodes as processes of their own, a backend server
-beside each, the store, and a proxy on each link that can be harmed."""
+"""The system under test: nodes as separate processes, a backend server on the
+host of each, the row store, and a proxy on each link that faults can impair."""
 
 import concurrent.futures
 import http.client
@@ -13,67 +13,69 @@
 import fleet
 import users_platform as platform
 
-HOST = "shop.example"
+ROUTE_HOST = "shop.example"
 SLOW_SECONDS = 3.0
-# Small, so that a few seconds of repeats show.
+# Small, so that excess retries exceed the bound within a few seconds.
 RETRY_SLACK = 10
-# Node, service of its server, service that this one calls.
-PLACES = [("a", "front", "/deep/n"), ("b", "pay", None), ("c", "pay", None),
-          ("d", "deep", None), ("e", "deep", None)]
+# Node, service of its server, path of the nested calls of that server.
+HOSTS = [("a", "front", "/deep/n"), ("b", "pay", None), ("c", "pay", None),
+         ("d", "deep", None), ("e", "deep", None)]
 
-# Children are killed when the thread that started them ends, so that none
-# outlives the harness; the threads that play faults end early.
-_STARTER = concurrent.futures.ThreadPoolExecutor(max_workers=1)
+# Starts all processes. A child is killed when the thread that started it ends
+# (parent death signal), and the threads that inject faults end early.
+_PROCESS_STARTER = concurrent.futures.ThreadPoolExecutor(max_workers=1)
 
 
 class Worker(platform.Worker):
-    """Beside `place`. Tells the record what reaches it; a path that begins with
-    /slow takes SLOW_SECONDS, or until its caller leaves."""
-
-    def __init__(self, place, name, nested, record):
-        self._record, self._left_at = record, None
-        self._place = place
-        below = (HOST, nested) if nested else None
-        super().__init__(place, place.service, name, below)
+    """The backend server of a host. Records the calls that reach it. A call to
+    /slow takes SLOW_SECONDS, or until it is cancelled."""
+
+    def __init__(self, host, name, nested, record):
+        self._record, self._draining_since = record, None
+        self._host = host
+        nested_call = (ROUTE_HOST, nested) if nested else None
+        super().__init__(host, host.service, name, nested_call)
         self.proxy = faulty_proxy.FaultyProxy(self.server.address)
         self.server.address = self.proxy.address
-        self._may_announce.set()
+        self._announce_allowed.set()
 
     def _announce(self):
-        self._may_announce.wait()
+        self._announce_allowed.wait()
         while self.state in ("ready", "draining"):
             draining = self.state == "draining"
             try:
-                heard = self.beat(self.state) == 200
+                acknowledged = self.send_heartbeat(self.state) == 200
             except (OSError, http.client.HTTPException):
-                heard = False
-            if draining and heard and self._left_at is None:
-                self._left_at = (time.monotonic(), self._place.start)
-            time.sleep(platform.BEAT_SECONDS)
-
-    def _since_leave(self):
-        """Seconds since this start of the node heard of the leave; None if it
-        has not."""
-        if self._left_at is None or self._left_at[1] != self._place.start:
+                acknowledged = False
+            if draining and acknowledged and self._draining_since is None:
+                self._draining_since = (time.monotonic(),
+                                        self._host.incarnation)
+            time.sleep(platform.HEARTBEAT_SECONDS)
+
+    def _seconds_since_draining(self):
+        """Seconds since this incarnation of the node acknowledged that the
+        server drains; None if it has not."""
+        if self._draining_since is None or \
+                self._draining_since[1] != self._host.incarnation:
             return None
-        return time.monotonic() - self._left_at[0]
+        return time.monotonic() - self._draining_since[0]
 
     def serve(self, call):
         attempt = call.headers.get("Attempt-Id", "")
         if call.headers.get("Expect-Instance") != self.name:
             return super().serve(call)
         self._record.add_arrival(attempt, self.service, self.name,
-                                 self._since_leave())
-        if call.path.startswith("/slow") and self._caller_leaves(call):
-            self._record.closed_early.add(attempt)
+                                 self._seconds_since_draining())
+        if call.path.startswith("/slow") and self._is_cancelled(call):
+            self._record.cancelled_at_server.add(attempt)
             call.close_connection = True
             return None
         if call.path.startswith("/slow"):
-            self._record.ran_out.add(attempt)
+            self._record.ran_to_end.add(attempt)
         return super().serve(call)
 
     @staticmethod
-    def _caller_leaves(call):
+    def _is_cancelled(call):
         end = time.monotonic() + SLOW_SECONDS
         while time.monotonic() < end:
             readable, _, _ = select.select([call.connection], [], [], 0.05)
@@ -94,15 +96,15 @@
         self.server.server_close()
 
 
-class Place:
-    """A host: a node that can be started again at its ports, and its server."""
+class Host:
+    """A node, which can be restarted on the same ports, and its server."""
 
     def __init__(self, run, name, service, nested, store_link, record):
         self.name, self.service, self.nested = name, service, nested
         self._run, self._store_link = run, store_link
         self._record = record
-        self.start = 0  # counts up with each start of the node
-        self._servers = 0
+        self.incarnation = 0  # number of starts of the node
+        self._server_count = 0
         self.node = None
         self.ports = {}
         self.start_node()
@@ -116,17 +118,18 @@
             self.ports.get("announce", 0))
         for flag in ("caller", "operator", "peer", "gossip"):
             flags += [f"--{flag}-port", str(self.ports.get(flag, 0))]
-        self.start += 1
-        self.node = _STARTER.submit(fleet.Process, self._run, self.name,
-                                    "src/amaranthd/amaranthd", flags).result()
+        self.incarnation += 1
+        self.node = _PROCESS_STARTER.submit(fleet.Process, self._run, self.name,
+                                            "src/amaranthd/amaranthd",
+                                            flags).result()
         self.ports = self.node.ports
 
     def start_worker(self, name=None):
-        self._servers += 1
-        self.worker = Worker(self, name or f"{self.name}{self._servers}",
+        self._server_count += 1
+        self.worker = Worker(self, name or f"{self.name}{self._server_count}",
                              self.nested, self._record)
 
-    def ready(self):
+    def is_ready(self):
         try:
             return platform.is_ready(self.node, timeout=2)
         except (OSError, http.client.HTTPException):
@@ -139,35 +142,36 @@
         self.store = platform.RowStore()
         self.store_link = faulty_proxy.FaultyProxy(self.store.address)
         self.version = 0
-        self._change = threading.Lock()
+        self._change_lock = threading.Lock()
         self.change_config()
-        self.places = [Place(run, name, service, nested, self.store_link,
-                             record)
-                       for name, service, nested in PLACES]
+        self.hosts = [Host(run, name, service, nested, self.store_link,
+                           record)
+                       for name, service, nested in HOSTS]
 
     def change_config(self):
-        """Adds a route; none is ever taken away."""
-        with self._change:
+        """Publishes a version with one more route; no route is ever removed."""
+        with self._change_lock:
             self.version += 1
             routes = {
-                "front": platform.route(HOST, "/front/", "front"),
-                "pay": platform.route(HOST, "/pay/", "pay", "non_idempotent"),
-                "slow": platform.route(HOST, "/slow/", "deep"),
-                "deep": platform.route(HOST, "/deep/", "deep"),
+                "front": platform.route(ROUTE_HOST, "/front/", "front"),
+                "pay": platform.route(ROUTE_HOST, "/pay/", "pay",
+                                      "non_idempotent"),
+                "slow": platform.route(ROUTE_HOST, "/slow/", "deep"),
+                "deep": platform.route(ROUTE_HOST, "/deep/", "deep"),
             }
             for version in range(1, self.version + 1):
                 routes[f"v{version}"] = platform.route(
-                    HOST, f"/v{version}/", "deep")
+                    ROUTE_HOST, f"/v{version}/", "deep")
             self.store.put_config(self.version, routes)
 
-    def heal(self):
-        """Ends what faults left behind, for the check of the recovery."""
-        self.store.come_back()
-        self.store_link.heal()
-        for place in self.places:
-            place.node.signal(signal.SIGCONT)
-            if not place.node.running:
-                place.start_node()
-            if place.worker.state != "ready":
-                place.start_worker()
-            place.worker.proxy.heal()
+    def clear_faults(self):
+        """Undoes all faults that are still in effect."""
+        self.store.make_available()
+        self.store_link.clear_faults()
+        for host in self.hosts:
+            host.node.signal(signal.SIGCONT)
+            if not host.node.running:
+                host.start_node()
+            if host.worker.state != "ready":
+                host.start_worker()
+            host.worker.proxy.clear_faults()
--- a/testsuite/thin-path/run.py
+++ b/testsuite/thin-path/run.py
@@ -1,10 +1,10 @@
-"""A request to a node that hosts none of the service's servers.
+"""A request enters at a node without a server of the requested service.
 
-The caller sees the whole answer of a chain three deep, each level carrying
-the caller's own token. Its request goes to the first node, whose peer runs
-the first service; that server calls the second service through its own
-node, and so on, across two data centres. Each service has one server, on a
-host of its own, so every hop must leave its host.
+The caller gets the complete answer of a chain of three services, each level
+with the token of the request. The entry node forwards the call to a peer, whose
+server makes a nested call to the second service through its own node, and so
+on, across two data centres. Each service has one server, each on another host,
+so no call is served by its entry node.
 """
 
 import sys
@@ -36,11 +36,11 @@
     answer = calls.call_service(nodes[0], "catalogue", token="own-token",
                                 request_id="thin-1")
     print(answer.status, answer.headers, answer.body.decode())
-    fleet.check(chain.is_whole(answer, SERVICES, "own-token"),
-                "the whole answer comes back with the caller's token")
-    fleet.check(answer.ran, "the answer says that a backend server ran it")
+    fleet.check(chain.is_complete(answer, SERVICES, "own-token"),
+                "the answer is complete, with the token of the request")
+    fleet.check(answer.ran, "the verdict of the answer is ran")
     fleet.check(answer.header("X-Amaranth-Request-Id") == "thin-1",
-                "the answer carries the request's id")
+                "the answer has the request id")
     for server in servers:
         fleet.check(server.effects()["by_token"] == {"own-token": 1},
                     f"{server.name} ran it once")
@@ -49,7 +49,7 @@
     body = unknown.json()
     fleet.check(unknown.status >= 400 and body["verdict"] == "not-run" and
                 body["reason"] == "unknown-service",
-                f"an unknown service is named: {body}")
+                f"refused as unknown service: {body}")
 
 
 if __name__ == "__main__":
--- a/testsuite/users-platform-faults/run.py
+++ b/testsuite/users-platform-faults/run.py
@@ -1,10 +1,10 @@
-"""Faults of the users' platform that callers must not notice.
+"""Faults of the users' platform that must not harm callers.
 
-The store goes away: nodes serve on, and one that restarts meanwhile gets the
-configuration from its peer. Rows and heartbeats of others are garbage. A
-heartbeat that was held up arrives after its server's leave. A server answers
-503 without its word that it did not run the request: the caller is promised
-nothing.
+While the store is unavailable nodes serve on, and a node that restarts gets the
+configuration from its peer. Malformed rows are ignored, malformed heartbeats
+rejected. A delayed heartbeat arrives after the leave of its server. A server
+answers 503 without marking the request as not run: the caller must not be told
+that it has not run.
 """
 
 import json
@@ -23,56 +23,57 @@
     store.put("amaranth-nodes", "noise", "AAAA")
     front = platform.route(HOST, "/front/", "front", "non_idempotent")
     store.put_config(3, {"front": front})
-    a = platform.start_node(run, "a", store, "front")
-    b = platform.start_node(run, "b", store, "other")
-    platform.wait_ready([a, b])
-    worker = platform.Worker(a, "front", "f1")
-    platform.wait_served(b, HOST, "/front/1")
+    node_a = platform.start_node(run, "a", store, "front")
+    node_b = platform.start_node(run, "b", store, "other")
+    platform.wait_ready([node_a, node_b])
+    worker = platform.Worker(node_a, "front", "f1")
+    platform.wait_served(node_b, HOST, "/front/1")
 
-    # Another writer's heartbeats name no server.
+    # Malformed heartbeats of another writer.
     for body in ("", "{", "[]", json.dumps({"addr": 5}),
                  json.dumps({"addr": worker.server.address,
                              "info": {"service": "front", "slots": "many"},
                              "status": {"state": "ready", "seq": 1}})):
         answer = platform.request(
-            a.ports["announce"], "POST",
+            node_a.ports["announce"], "POST",
             "/-/rpc?call=workers.heartbeat&of=stranger", body=body)
-        fleet.check(answer.status == 400, f"{body!r} is refused")
-    platform.wait_served(b, HOST, "/front/2")
+        fleet.check(answer.status == 400, f"{body!r} is rejected")
+    platform.wait_served(node_b, HOST, "/front/2")
 
-    # The store is away; a node restarts beside a living server.
-    store.go_away()
-    platform.wait_served(b, HOST, "/front/3")
-    b.kill()
-    b = restart_alone(run, store, a)
-    platform.wait_ready([b])
-    platform.wait_served(b, HOST, "/front/4")
-    store.come_back()
+    # A node restarts while the store is unavailable and the server runs on.
+    store.make_unavailable()
+    platform.wait_served(node_b, HOST, "/front/3")
+    node_b.kill()
+    node_b = restart_from_peer(run, store, node_a)
+    platform.wait_ready([node_b])
+    platform.wait_served(node_b, HOST, "/front/4")
+    store.make_available()
 
-    # A late "ready" does not bring back a server that has left.
+    # A delayed "ready" heartbeat does not add a server that has left.
     fleet.check(worker.leave() == 200, "the leave is acknowledged")
     runs = len(worker.runs)
-    fleet.check(worker.beat("ready") == 200, "the late heartbeat is answered")
-    refused = platform.request(b.ports["caller"], "POST", "/front/5",
+    fleet.check(worker.send_heartbeat("ready") == 200,
+                "the delayed heartbeat is acknowledged")
+    refused = platform.request(node_b.ports["caller"], "POST", "/front/5",
                                host=HOST, attempt="late")
-    fleet.check(refused.status == 503, f"not run, and said so: {refused.status}")
-    fleet.check("Retry-After" in refused.headers, "told when to come back")
-    fleet.check(len(worker.runs) == runs, "nothing reached it")
+    fleet.check(refused.status == 503, f"refused as not run: {refused.status}")
+    fleet.check("Retry-After" in refused.headers, "the refusal has Retry-After")
+    fleet.check(len(worker.runs) == runs, "no request reaches the server")
 
-    # A 503 without the server's own mark is no promise.
-    liar = platform.Worker(a, "front", "f2")
-    platform.wait_served(b, HOST, "/front/6")
-    liar.serve = lambda call: call.answer(
+    # A 503 without the mark of the server is not a not-run verdict.
+    unmarked = platform.Worker(node_a, "front", "f2")
+    platform.wait_served(node_b, HOST, "/front/6")
+    unmarked.serve = lambda call: call.answer(
         503, headers=[("Attempt-Id", call.headers["Attempt-Id"])])
-    answer = platform.request(b.ports["caller"], "POST", "/front/7", host=HOST,
-                              attempt="liar")
-    fleet.check(answer.status == 502, f"no promise is passed on: {answer.status}")
-    a.signal(signal.SIGTERM)
-    fleet.check(a.wait_exit() == 0, "it ends by itself")
+    answer = platform.request(node_b.ports["caller"], "POST", "/front/7",
+                              host=HOST, attempt="unmarked")
+    fleet.check(answer.status == 502, f"no not-run verdict: {answer.status}")
+    node_a.signal(signal.SIGTERM)
+    fleet.check(node_a.wait_exit() == 0, "the drained node exits with 0")
 
 
-def restart_alone(run, store, peer):
-    """The node's successor finds its peer by a seed, as the store is away."""
+def restart_from_peer(run, store, peer):
+    """Starts node b with its peer as the seed, as the store is unavailable."""
     return platform.start_node(
         run, "b", store, "other",
         ["--seeds", f"127.0.0.1:{peer.ports['gossip']}"])
