--- a/src/bench/capacity_bench.cc
+++ b/src/bench/capacity_bench.cc
@@ -1,5 +1,5 @@
-// What a node costs at several sizes of fleet, and the line through the sizes:
-// the source of docs/CAPACITY.md.
+// Measures the cost per node at several fleet sizes and fits a line through the
+// sizes. Produces the figures of docs/CAPACITY.md.
 
 #include <malloc.h>
 
@@ -17,22 +17,24 @@
 namespace {
 
 constexpr size_t kDataCentres = 5;
-constexpr size_t kFirstOfRegionB = 3;
+constexpr size_t kFirstDataCentreOfRegionB = 3;
 constexpr double kPlannedNodes = 1600;
 constexpr size_t kPlannedServices = 140;
-constexpr size_t kReplacements = 10;
-constexpr size_t kSettingsChanges = 20;
-// By then the head has moved; the time in force counts from the change's start.
-constexpr Duration kPlatformTime = std::chrono::milliseconds(250);
+constexpr size_t kReplacementCount = 10;
+constexpr size_t kSettingsChangeCount = 20;
+// Virtual time after a settings change by which its platform calls are done and
+// the head has moved. It is included in the reported time until the change is
+// in force.
+constexpr Duration kHeadMoveTime = std::chrono::milliseconds(250);
 constexpr double kPlannedCallsPerNode = 306;
 
-struct Row {
+struct PhaseResult {
   std::string phase;
   double nodes = 0;
   std::map<std::string, double> values;
 };
 
-double Heap() { return static_cast<double>(mallinfo2().uordblks); }
+double HeapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
 size_t ServicesFor(size_t nodes) {
   const size_t share =
@@ -40,9 +42,10 @@
   return std::max<size_t>(3, share);
 }
 
-// Runs `action` for a span of virtual time and says what a node used a second.
-Row Phase(const std::string& name, CapacityFleet& fleet, Duration length,
-          const std::function<void()>& action) {
+// Runs `action`, which takes `length` of virtual time, and returns the cost per
+// node and second. Values named "fleet ..." are totals over all nodes.
+PhaseResult MeasurePhase(const std::string& name, CapacityFleet& fleet,
+                         Duration length, const std::function<void()>& action) {
   fleet.TakePeakBytes();
   fleet.TakePeakNanos();
   fleet.TakePeakPlatformCalls();
@@ -51,7 +54,7 @@
   const Usage used = fleet.usage() - before;
   const double seconds = static_cast<double>(length.count()) / 1e6;
   const double per_node = seconds * static_cast<double>(fleet.up());
-  Row row;
+  PhaseResult row;
   row.phase = name;
   row.nodes = static_cast<double>(fleet.size());
   row.values["bytes/s"] = static_cast<double>(used.bytes) / per_node;
@@ -79,7 +82,7 @@
   return row;
 }
 
-void Print(const Row& row) {
+void Print(const PhaseResult& row) {
   std::cout << row.phase << " n=" << row.nodes;
   for (const auto& [name, value] : row.values) {
     std::cout << "  " << name << '=' << value;
@@ -87,12 +90,12 @@
   std::cout << std::endl;
 }
 
-double Seconds(Duration time) {
+double ToSeconds(Duration time) {
   return static_cast<double>(time.count()) / 1e6;
 }
 
-void Replace(CapacityFleet& fleet) {
-  for (size_t i = 0; i < kReplacements; ++i) {
+void ReplaceHosts(CapacityFleet& fleet) {
+  for (size_t i = 0; i < kReplacementCount; ++i) {
     const size_t node = (i * 7 + 5) % fleet.size();
     fleet.Kill(node);
     fleet.RunFor(std::chrono::seconds(1));
@@ -102,107 +105,112 @@
   fleet.RunFor(std::chrono::seconds(10));
 }
 
-void LoseDataCentre(CapacityFleet& fleet) {
+void KillDataCentre(CapacityFleet& fleet) {
   for (size_t node = 0; node < fleet.size(); ++node) {
     if (fleet.DataCentreOf(node) == 0) fleet.Kill(node);
   }
   fleet.RunFor(std::chrono::seconds(30));
 }
 
-// The membership and settings phases at one size.
-std::vector<Row> MeasureFleet(size_t nodes) {
+// Runs the membership and settings phases with a fleet of `nodes`.
+std::vector<PhaseResult> MeasureFleet(size_t nodes) {
   using std::chrono::seconds;
-  const double empty = Heap();
+  const double heap_before = HeapBytes();
   CapacityFleet fleet(nodes, kDataCentres, ServicesFor(nodes));
   fleet.StartAll();
-  Duration joined{0};
-  std::vector<Row> rows;
-  rows.push_back(Phase("start of all", fleet, seconds(60), [&] {
-    joined = fleet.RunUntilSeen(nodes, seconds(60));
-    fleet.RunFor(seconds(60) - joined);
+  Duration join_time{0};
+  std::vector<PhaseResult> rows;
+  rows.push_back(MeasurePhase("start of all", fleet, seconds(60), [&] {
+    join_time = fleet.RunUntilMembersSeen(nodes, seconds(60));
+    fleet.RunFor(seconds(60) - join_time);
   }));
-  rows.back().values["seen s"] = Seconds(joined);
-  rows.push_back(
-      Phase("quiet", fleet, seconds(20), [&] { fleet.RunFor(seconds(20)); }));
+  rows.back().values["seen s"] = ToSeconds(join_time);
+  rows.push_back(MeasurePhase("quiet", fleet, seconds(20),
+                              [&] { fleet.RunFor(seconds(20)); }));
   rows.back().values["heap KB"] =
-      (Heap() - empty) / 1024 / static_cast<double>(nodes);
-  rows.push_back(
-      Phase("replacements", fleet, seconds(30), [&] { Replace(fleet); }));
-  // A tree of the planned size first: it is what each change carries.
+      (HeapBytes() - heap_before) / 1024 / static_cast<double>(nodes);
+  rows.push_back(MeasurePhase("replacements", fleet, seconds(30),
+                              [&] { ReplaceHosts(fleet); }));
+  // Fills the settings tree to its planned size first: every change sends the
+  // whole tree.
   fleet.ChangeSettings(0, kPlannedServices);
   fleet.RunFor(seconds(10));
   const uint64_t version = fleet.settings_version();
   Duration slowest{0};
-  rows.push_back(Phase("settings changes", fleet, seconds(100), [&] {
-    for (size_t i = 0; i < kSettingsChanges; ++i) {
+  rows.push_back(MeasurePhase("settings changes", fleet, seconds(100), [&] {
+    for (size_t i = 0; i < kSettingsChangeCount; ++i) {
       fleet.ChangeSettings(i % nodes, 1);
-      fleet.RunFor(kPlatformTime);
-      const Duration taken = fleet.RunUntilInForce(seconds(4)) + kPlatformTime;
+      fleet.RunFor(kHeadMoveTime);
+      const Duration taken =
+          fleet.RunUntilSettingsInForce(seconds(4)) + kHeadMoveTime;
       slowest = std::max(slowest, taken);
       fleet.RunFor(seconds(5) - taken);
     }
   }));
-  rows.back().values["slowest in force s"] = Seconds(slowest);
+  rows.back().values["slowest in force s"] = ToSeconds(slowest);
   rows.back().values["accepted"] =
       static_cast<double>(fleet.settings_version() - version);
-  rows.push_back(Phase("region cut", fleet, seconds(30), [&] {
-    fleet.CutFrom(kFirstOfRegionB);
+  rows.push_back(MeasurePhase("region cut", fleet, seconds(30), [&] {
+    fleet.PartitionFrom(kFirstDataCentreOfRegionB);
     fleet.RunFor(seconds(30));
   }));
-  rows.push_back(Phase("regions rejoin", fleet, seconds(40), [&] {
+  rows.push_back(MeasurePhase("regions rejoin", fleet, seconds(40), [&] {
     fleet.Heal();
-    joined = fleet.RunUntilSeen(nodes, seconds(40));
-    fleet.RunFor(seconds(40) - joined);
+    join_time = fleet.RunUntilMembersSeen(nodes, seconds(40));
+    fleet.RunFor(seconds(40) - join_time);
   }));
-  rows.back().values["seen s"] = Seconds(joined);
-  rows.push_back(Phase("data centre lost", fleet, seconds(30),
-                       [&] { LoseDataCentre(fleet); }));
-  for (const Row& row : rows) Print(row);
+  rows.back().values["seen s"] = ToSeconds(join_time);
+  rows.push_back(MeasurePhase("data centre lost", fleet, seconds(30),
+                              [&] { KillDataCentre(fleet); }));
+  for (const PhaseResult& row : rows) Print(row);
   return rows;
 }
 
-// What a call costs, over what the same fleet costs without calls.
-void AddCostOfCalls(Row& row, const Row& quiet) {
+// Adds the cost per call: the difference to the same fleet without calls,
+// divided by the call rate.
+void AddCallCost(PhaseResult& row, const PhaseResult& baseline) {
   const double calls = row.values["calls/s"];
-  const auto more = [&](const std::string& figure) {
-    return (row.values.at(figure) - quiet.values.at(figure)) / calls;
+  const auto cost_per_call = [&](const std::string& figure) {
+    return (row.values.at(figure) - baseline.values.at(figure)) / calls;
   };
-  row.values["us/call"] = more("reducer us/s") + more("codec us/s");
-  row.values["bytes/call"] = more("bytes/s");
+  row.values["us/call"] =
+      cost_per_call("reducer us/s") + cost_per_call("codec us/s");
+  row.values["bytes/call"] = cost_per_call("bytes/s");
 }
 
-// Calls of one hop each, at the planned rate; then with keys to claim.
-std::vector<Row> MeasureCalls(size_t nodes, size_t entries) {
+// Measures calls of one hop each at the planned rate, first without
+// idempotency keys and then with keys in 5% of the calls.
+std::vector<PhaseResult> MeasureCalls(size_t nodes, size_t entries) {
   using std::chrono::seconds;
-  const double empty = Heap();
+  const double heap_before = HeapBytes();
   CapacityFleet fleet(nodes, kDataCentres, ServicesFor(nodes));
   fleet.StartAll();
-  fleet.RunUntilSeen(nodes, seconds(60));
+  fleet.RunUntilMembersSeen(nodes, seconds(60));
   fleet.RunFor(seconds(40));
-  std::vector<Row> rows;
-  rows.push_back(
-      Phase("no calls", fleet, seconds(5), [&] { fleet.RunFor(seconds(5)); }));
+  std::vector<PhaseResult> rows;
+  rows.push_back(MeasurePhase("no calls", fleet, seconds(5),
+                              [&] { fleet.RunFor(seconds(5)); }));
   fleet.SetCallRate(kPlannedCallsPerNode, 0, entries);
   fleet.RunFor(seconds(1));
-  rows.push_back(
-      Phase("calls", fleet, seconds(5), [&] { fleet.RunFor(seconds(5)); }));
+  rows.push_back(MeasurePhase("calls", fleet, seconds(5),
+                              [&] { fleet.RunFor(seconds(5)); }));
   fleet.SetCallRate(kPlannedCallsPerNode, 0.05, entries);
   fleet.RunFor(seconds(1));
-  rows.push_back(Phase("calls, 5% keyed", fleet, seconds(5),
-                       [&] { fleet.RunFor(seconds(5)); }));
+  rows.push_back(MeasurePhase("calls, 5% keyed", fleet, seconds(5),
+                              [&] { fleet.RunFor(seconds(5)); }));
   rows.back().values["heap KB"] =
-      (Heap() - empty) / 1024 / static_cast<double>(nodes);
-  AddCostOfCalls(rows[1], rows[0]);
-  AddCostOfCalls(rows[2], rows[0]);
-  for (const Row& row : rows) Print(row);
+      (HeapBytes() - heap_before) / 1024 / static_cast<double>(nodes);
+  AddCallCost(rows[1], rows[0]);
+  AddCallCost(rows[2], rows[0]);
+  for (const PhaseResult& row : rows) Print(row);
   return rows;
 }
 
-// Least squares through one figure of one phase.
-void Fit(const std::string& phase, const std::string& figure,
-         const std::vector<Row>& rows) {
+// Prints the least-squares line of one figure of one phase over fleet size.
+void FitLine(const std::string& phase, const std::string& figure,
+             const std::vector<PhaseResult>& rows) {
   double n = 0, x = 0, y = 0, xx = 0, xy = 0;
-  for (const Row& row : rows) {
+  for (const PhaseResult& row : rows) {
     if (row.phase != phase || row.values.count(figure) == 0) continue;
     const double value = row.values.at(figure);
     n += 1;
@@ -215,7 +223,7 @@
   const double slope = (n * xy - x * y) / (n * xx - x * x);
   const double intercept = (y - slope * x) / n;
   double squares = 0;
-  for (const Row& row : rows) {
+  for (const PhaseResult& row : rows) {
     if (row.phase != phase || row.values.count(figure) == 0) continue;
     squares +=
         std::pow(row.values.at(figure) - intercept - slope * row.nodes, 2);
@@ -225,32 +233,32 @@
             << intercept + slope * kPlannedNodes << '\n';
 }
 
-void FitAll(const std::vector<Row>& rows) {
+void FitAllFigures(const std::vector<PhaseResult>& rows) {
   std::cout << "fit,phase,figure,slope a node,intercept,standard error,at "
             << kPlannedNodes << " nodes\n";
   std::map<std::string, std::map<std::string, bool>> figures;
-  for (const Row& row : rows) {
+  for (const PhaseResult& row : rows) {
     for (const auto& [name, value] : row.values)
       figures[row.phase][name] = true;
   }
   for (const auto& [phase, names] : figures) {
-    for (const auto& [name, present] : names) Fit(phase, name, rows);
+    for (const auto& [name, present] : names) FitLine(phase, name, rows);
   }
 }
 
 int Main(int argc, const char* const* argv) {
-  cxxopts::Options options("capacity_bench",
-                           "Measures what a node costs by size of fleet.");
+  cxxopts::Options options(
+      "capacity_bench", "Measures the cost per node at several fleet sizes.");
   using Sizes = std::vector<size_t>;
   cxxopts::OptionAdder add = options.add_options();
-  add("sizes", "Sizes for the membership phases",
+  add("sizes", "Fleet sizes for the membership and settings phases",
       cxxopts::value<Sizes>()->default_value("10,50,200,400"));
-  add("call-sizes", "Sizes for the phases with calls",
+  add("call-sizes", "Fleet sizes for the phases with calls",
       cxxopts::value<Sizes>()->default_value("10,50,100"));
-  add("entries", "Nodes that callers ask, in the phases with calls",
+  add("entries", "Number of entry nodes in the phases with calls",
       cxxopts::value<size_t>()->default_value("100000"));
-  add("placement", "Measure the placement methods only");
-  add("help", "Print this page");
+  add("placement", "Measure only the placement methods");
+  add("help", "Print this help");
   const cxxopts::ParseResult parsed = options.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << options.help();
@@ -260,16 +268,16 @@
     MeasurePlacement(std::cout);
     return 0;
   }
-  std::vector<Row> rows;
+  std::vector<PhaseResult> rows;
   for (const size_t nodes : parsed["sizes"].as<Sizes>()) {
-    for (Row& row : MeasureFleet(nodes)) rows.push_back(std::move(row));
+    for (PhaseResult& row : MeasureFleet(nodes)) rows.push_back(std::move(row));
   }
   const size_t entries = parsed["entries"].as<size_t>();
   for (const size_t nodes : parsed["call-sizes"].as<Sizes>()) {
-    for (Row& row : MeasureCalls(nodes, entries))
+    for (PhaseResult& row : MeasureCalls(nodes, entries))
       rows.push_back(std::move(row));
   }
-  FitAll(rows);
+  FitAllFigures(rows);
   return 0;
 }
 
--- a/src/bench/capacity_fleet.cc
+++ b/src/bench/capacity_fleet.cc
@@ -10,42 +10,42 @@
 namespace amaranth::bench {
 namespace {
 
-constexpr Duration kSameDataCentre{300};
-constexpr Duration kOtherDataCentre{1500};
+constexpr Duration kSameDataCentreLatency{300};
+constexpr Duration kOtherDataCentreLatency{1500};
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
-constexpr Duration kPlatformDelay = std::chrono::milliseconds(10);
+constexpr Duration kPlatformLatency = std::chrono::milliseconds(10);
 constexpr Duration kAnnouncePeriod = std::chrono::milliseconds(500);
 constexpr Duration kServiceTime = std::chrono::milliseconds(5);
-constexpr size_t kFrameHeader = 4;
-constexpr size_t kSeeds = 5;
-constexpr size_t kBodyBytes = 512;
-constexpr size_t kWatchedNodes = 8;
-constexpr Duration kCheckPeriod = std::chrono::milliseconds(250);
+constexpr size_t kFrameHeaderBytes = 4;
+constexpr size_t kSeedCount = 5;
+constexpr size_t kResponseBodyBytes = 512;
+constexpr size_t kSampledNodes = 8;
+constexpr Duration kPollPeriod = std::chrono::milliseconds(250);
 
-uint64_t ProcessNanos() {
+uint64_t ProcessCpuNanos() {
   timespec time{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &time);
   return static_cast<uint64_t>(time.tv_sec) * 1'000'000'000u +
          static_cast<uint64_t>(time.tv_nsec);
 }
 
-// What reading the clock itself adds to each measurement.
-uint64_t ClockCost() {
+// Returns the time that one clock reading adds to a measurement, in ns.
+uint64_t ClockReadingNanos() {
   constexpr uint64_t kReadings = 20'000;
-  const uint64_t start = ProcessNanos();
-  for (uint64_t i = 0; i < kReadings; ++i) ProcessNanos();
-  return (ProcessNanos() - start) / kReadings;
+  const uint64_t start = ProcessCpuNanos();
+  for (uint64_t i = 0; i < kReadings; ++i) ProcessCpuNanos();
+  return (ProcessCpuNanos() - start) / kReadings;
 }
 
-uint64_t NanosSince(uint64_t start) {
-  static const uint64_t cost = ClockCost();
-  const uint64_t taken = ProcessNanos() - start;
+uint64_t CpuNanosSince(uint64_t start) {
+  static const uint64_t cost = ClockReadingNanos();
+  const uint64_t taken = ProcessCpuNanos() - start;
   return taken > cost ? taken - cost : 0;
 }
 
-std::string NameOf(size_t node) { return "host-" + std::to_string(node); }
+std::string HostName(size_t node) { return "host-" + std::to_string(node); }
 
-Endpoint AddressOf(size_t node, uint16_t port) {
+Endpoint HostAddress(size_t node, uint16_t port) {
   return {"10.0." + std::to_string(node / 250) + "." +
               std::to_string(node % 250 + 1),
           port};
@@ -70,40 +70,40 @@
 CapacityFleet::CapacityFleet(size_t nodes, size_t data_centres, size_t services)
     : data_centres_(data_centres), services_(services), hosts_(nodes) {
   for (size_t node = 0; node < nodes; ++node) {
-    by_name_[NameOf(node)] = node;
-    by_name_[AddressOf(node, 0).ip] = node;
+    by_name_[HostName(node)] = node;
+    by_name_[HostAddress(node, 0).ip] = node;
   }
 }
 
 void CapacityFleet::StartAll() {
   for (size_t node = 0; node < hosts_.size(); ++node) {
     const Duration jitter(static_cast<int64_t>(random_() % 500'000));
-    At(jitter, [this, node] { Boot(node); });
+    Schedule(jitter, [this, node] { StartNode(node); });
   }
 }
 
-void CapacityFleet::Boot(size_t node) {
-  Host& host = hosts_[node];
+void CapacityFleet::StartNode(size_t node) {
+  SimulatedHost& host = hosts_[node];
   NodeIdentity identity;
-  identity.node = {NameOf(node), next_incarnation_++};
+  identity.node = {HostName(node), next_incarnation_++};
   const size_t data_centre = DataCentreOf(node);
   identity.data_centre = "data-centre-" + std::to_string(data_centre);
   identity.region = data_centre < 3 ? "region-a" : "region-b";
-  identity.peer_address = AddressOf(node, 7001);
-  identity.gossip_address = AddressOf(node, 7002);
-  for (size_t seed = 0; seed < std::min(kSeeds, hosts_.size()); ++seed) {
-    if (seed != node) identity.seeds.push_back(AddressOf(seed, 7002));
+  identity.peer_address = HostAddress(node, 7001);
+  identity.gossip_address = HostAddress(node, 7002);
+  for (size_t seed = 0; seed < std::min(kSeedCount, hosts_.size()); ++seed) {
+    if (seed != node) identity.seeds.push_back(HostAddress(seed, 7002));
   }
   identity.random_seed = random_();
   host.identity = identity;
   host.node = std::make_unique<Node>(identity);
   host.up = true;
-  Apply(node, host.node->Start(now_));
+  ApplyEffects(node, host.node->Start(now_));
   Announce(node, identity.node.incarnation);
 }
 
 void CapacityFleet::Announce(size_t node, uint64_t incarnation) {
-  Host& host = hosts_[node];
+  SimulatedHost& host = hosts_[node];
   if (!host.up || host.identity.node.incarnation != incarnation) return;
   HttpRequest request;
   request.method = "POST";
@@ -112,13 +112,13 @@
                       "\",\"service\":\"service-" +
                       std::to_string(node % services_) + "\",\"address\":\"" +
                       host.identity.peer_address.ip + ":8080\",\"slots\":100}");
-  Feed(node, CallerRequest{next_call_++, std::move(request)});
-  At(kAnnouncePeriod,
-     [this, node, incarnation] { Announce(node, incarnation); });
+  Deliver(node, CallerRequest{next_call_++, std::move(request)});
+  Schedule(kAnnouncePeriod,
+           [this, node, incarnation] { Announce(node, incarnation); });
 }
 
-void CapacityFleet::At(Duration from_now, std::function<void()> action) {
-  schedule_.push({now_ + from_now, order_++, std::move(action)});
+void CapacityFleet::Schedule(Duration from_now, std::function<void()> action) {
+  schedule_.push({now_ + from_now, next_order_++, std::move(action)});
 }
 
 void CapacityFleet::RunFor(Duration length) {
@@ -132,49 +132,49 @@
   now_ = end;
 }
 
-Duration CapacityFleet::RunUntilAll(
-    const std::function<bool(size_t node)>& holds, Duration limit) {
+Duration CapacityFleet::RunUntilSampledNodes(
+    const std::function<bool(size_t node)>& condition, Duration limit) {
   const TimePoint start = now_;
   while (now_ - start < limit) {
-    RunFor(kCheckPeriod);
+    RunFor(kPollPeriod);
     bool all = true;
-    for (size_t i = 0; i < kWatchedNodes && all; ++i) {
-      const size_t node = i * (hosts_.size() - 1) / (kWatchedNodes - 1);
-      all = !hosts_[node].up || holds(node);
+    for (size_t i = 0; i < kSampledNodes && all; ++i) {
+      const size_t node = i * (hosts_.size() - 1) / (kSampledNodes - 1);
+      all = !hosts_[node].up || condition(node);
     }
     if (all) break;
   }
   return now_ - start;
 }
 
-Duration CapacityFleet::RunUntilSeen(size_t alive, Duration limit) {
-  return RunUntilAll([&](size_t node) { return AliveSeenBy(node) == alive; },
-                     limit);
+Duration CapacityFleet::RunUntilMembersSeen(size_t alive, Duration limit) {
+  return RunUntilSampledNodes(
+      [&](size_t node) { return CountAliveMembers(node) == alive; }, limit);
 }
 
-Duration CapacityFleet::RunUntilInForce(Duration limit) {
-  return RunUntilAll(
+Duration CapacityFleet::RunUntilSettingsInForce(Duration limit) {
+  return RunUntilSampledNodes(
       [this](size_t node) {
         const std::string wanted =
             "\"settings_version\":" + std::to_string(head_version_) + ",";
-        return StatusOf(node).find(wanted) != std::string_view::npos;
+        return GetStatus(node).find(wanted) != std::string_view::npos;
       },
       limit);
 }
 
-// Asked beside the measurement: its cost is not counted.
-std::string_view CapacityFleet::StatusOf(size_t node) {
+// Bypasses Deliver(), so that the cost of the query is not measured.
+std::string_view CapacityFleet::GetStatus(size_t node) {
   HttpRequest request;
   request.method = "GET";
   request.target = "/status";
-  watched_call_ = next_call_++;
-  const OperatorRequest asked{watched_call_, std::move(request)};
-  Apply(node, hosts_[node].node->Reduce({now_, asked}));
-  return watched_answer_.body.view();
+  operator_call_ = next_call_++;
+  const OperatorRequest asked{operator_call_, std::move(request)};
+  ApplyEffects(node, hosts_[node].node->Reduce({now_, asked}));
+  return operator_answer_.body.view();
 }
 
-size_t CapacityFleet::AliveSeenBy(size_t node) {
-  const std::string_view text = StatusOf(node);
+size_t CapacityFleet::CountAliveMembers(size_t node) {
+  const std::string_view text = GetStatus(node);
   const std::string_view wanted = "\"state\":\"alive\"";
   size_t count = 0;
   for (size_t at = text.find(wanted); at != std::string_view::npos;
@@ -185,8 +185,9 @@
 }
 
 size_t CapacityFleet::up() const {
-  return static_cast<size_t>(std::count_if(
-      hosts_.begin(), hosts_.end(), [](const Host& host) { return host.up; }));
+  return static_cast<size_t>(
+      std::count_if(hosts_.begin(), hosts_.end(),
+                    [](const SimulatedHost& host) { return host.up; }));
 }
 
 void CapacityFleet::Kill(size_t node) {
@@ -198,15 +199,16 @@
       continue;
     }
     const size_t other = it->first == node ? it->second : it->first;
-    const std::string name = NameOf(node);
-    At(kOtherDataCentre, [this, other, name] { Feed(other, PeerLost{name}); });
+    const std::string name = HostName(node);
+    Schedule(kOtherDataCentreLatency,
+             [this, other, name] { Deliver(other, PeerLost{name}); });
     it = links_.erase(it);
   }
 }
 
-void CapacityFleet::Restart(size_t node) { Boot(node); }
-void CapacityFleet::CutFrom(size_t first) { cut_from_ = first; }
-void CapacityFleet::Heal() { cut_from_ = 0; }
+void CapacityFleet::Restart(size_t node) { StartNode(node); }
+void CapacityFleet::PartitionFrom(size_t first) { partition_from_ = first; }
+void CapacityFleet::Heal() { partition_from_ = 0; }
 
 void CapacityFleet::ChangeSettings(size_t node, size_t paths) {
   HttpRequest request;
@@ -221,8 +223,8 @@
                std::to_string(milliseconds) + "}";
   }
   request.body = Body("{\"author\":\"bench\",\"changes\":[" + changes + "]}");
-  watched_call_ = next_call_++;
-  Feed(node, OperatorRequest{watched_call_, std::move(request)});
+  operator_call_ = next_call_++;
+  Deliver(node, OperatorRequest{operator_call_, std::move(request)});
 }
 
 void CapacityFleet::SetCallRate(double calls_per_node, double keyed_share,
@@ -239,7 +241,7 @@
 void CapacityFleet::ScheduleCall(size_t node, uint64_t generation) {
   std::exponential_distribution<double> gap(call_rate_);
   const Duration wait(static_cast<int64_t>(gap(random_) * 1e6));
-  At(wait, [this, node, generation] {
+  Schedule(wait, [this, node, generation] {
     if (generation != call_generation_ || !hosts_[node].up) return;
     const uint64_t call = next_call_++;
     HttpRequest request;
@@ -255,25 +257,27 @@
       request.headers.push_back(
           {"Idempotency-Key", "key-" + std::to_string(call)});
     }
-    callers_.insert(call);
-    Feed(node, CallerRequest{call, std::move(request)});
+    open_calls_.insert(call);
+    Deliver(node, CallerRequest{call, std::move(request)});
     ScheduleCall(node, generation);
   });
 }
 
-bool CapacityFleet::Reaches(size_t a, size_t b) const {
-  if (cut_from_ == 0) return true;
-  return (DataCentreOf(a) < cut_from_) == (DataCentreOf(b) < cut_from_);
+bool CapacityFleet::IsReachable(size_t a, size_t b) const {
+  if (partition_from_ == 0) return true;
+  return (DataCentreOf(a) < partition_from_) ==
+         (DataCentreOf(b) < partition_from_);
 }
 
 Duration CapacityFleet::Latency(size_t a, size_t b) {
   const bool same = DataCentreOf(a) == DataCentreOf(b);
-  const int64_t base = (same ? kSameDataCentre : kOtherDataCentre).count();
+  const int64_t base =
+      (same ? kSameDataCentreLatency : kOtherDataCentreLatency).count();
   return Duration(base + static_cast<int64_t>(random_() % 200));
 }
 
-void CapacityFleet::Count(size_t node, uint64_t bytes, uint64_t nanos) {
-  Host& host = hosts_[node];
+void CapacityFleet::RecordUsage(size_t node, uint64_t bytes, uint64_t nanos) {
+  SimulatedHost& host = hosts_[node];
   const int64_t second = ToMicros(now_) / 1'000'000;
   if (second != host.second) {
     host.second = second;
@@ -307,27 +311,27 @@
   return std::exchange(peak_nanos_, 0);
 }
 
-void CapacityFleet::Feed(size_t node, EventBody body) {
-  Host& host = hosts_[node];
+void CapacityFleet::Deliver(size_t node, EventBody body) {
+  SimulatedHost& host = hosts_[node];
   if (!host.up) return;
   const Event event{now_, std::move(body)};
-  const uint64_t start = ProcessNanos();
+  const uint64_t start = ProcessCpuNanos();
   const Effects effects = host.node->Reduce(event);
-  const uint64_t taken = NanosSince(start);
+  const uint64_t taken = CpuNanosSince(start);
   usage_.reducer_ns += taken;
-  Count(node, 0, taken);
-  Apply(node, effects);
+  RecordUsage(node, 0, taken);
+  ApplyEffects(node, effects);
 }
 
-void CapacityFleet::Apply(size_t node, const Effects& effects) {
+void CapacityFleet::ApplyEffects(size_t node, const Effects& effects) {
   for (const Effect& effect : effects) {
-    std::visit([&](const auto& body) { Do(node, body); }, effect);
+    std::visit([&](const auto& body) { ApplyEffect(node, body); }, effect);
   }
 }
 
-void CapacityFleet::Do(size_t, const AnswerCaller& effect) {
-  if (effect.call == watched_call_) watched_answer_ = effect.response;
-  if (callers_.erase(effect.call) == 0) return;
+void CapacityFleet::ApplyEffect(size_t, const AnswerCaller& effect) {
+  if (effect.call == operator_call_) operator_answer_ = effect.response;
+  if (open_calls_.erase(effect.call) == 0) return;
   if (effect.response.status == 200) {
     ++usage_.calls_ok;
   } else {
@@ -335,91 +339,93 @@
   }
 }
 
-void CapacityFleet::Do(size_t node, const SendPeer& effect) {
+void CapacityFleet::ApplyEffect(size_t node, const SendPeer& effect) {
   const auto found = by_name_.find(effect.peer);
   if (found == by_name_.end()) return;
   const size_t to = found->second;
-  if (!hosts_[to].up || !Reaches(node, to)) {
-    At(kConnectTimeout,
-       [this, node, peer = effect.peer, message = effect.message] {
-         Feed(node, PeerSendFailed{peer, message});
-       });
+  if (!hosts_[to].up || !IsReachable(node, to)) {
+    Schedule(kConnectTimeout,
+             [this, node, peer = effect.peer, message = effect.message] {
+               Deliver(node, PeerSendFailed{peer, message});
+             });
     return;
   }
   links_.insert({std::min(node, to), std::max(node, to)});
-  const uint64_t start = ProcessNanos();
+  const uint64_t start = ProcessCpuNanos();
   std::string bytes = EncodePeerMessage(effect.message);
-  const uint64_t taken = NanosSince(start);
+  const uint64_t taken = CpuNanosSince(start);
   usage_.codec_ns += taken;
   ++usage_.messages;
-  Count(node, bytes.size() + kFrameHeader, taken);
+  RecordUsage(node, bytes.size() + kFrameHeaderBytes, taken);
   const NodeRef sender = hosts_[node].identity.node;
-  At(Latency(node, to), [this, to, sender, bytes = std::move(bytes)] {
-    const uint64_t began = ProcessNanos();
+  Schedule(Latency(node, to), [this, to, sender, bytes = std::move(bytes)] {
+    const uint64_t began = ProcessCpuNanos();
     Outcome<PeerMessage> message = DecodePeerMessage(bytes);
-    const uint64_t spent = NanosSince(began);
+    const uint64_t spent = CpuNanosSince(began);
     usage_.codec_ns += spent;
-    Count(to, 0, spent);
-    if (message) Feed(to, PeerReceived{sender, std::move(message.value())});
+    RecordUsage(to, 0, spent);
+    if (message) Deliver(to, PeerReceived{sender, std::move(message.value())});
   });
 }
 
-void CapacityFleet::Do(size_t node, const ClosePeer& effect) {
+void CapacityFleet::ApplyEffect(size_t node, const ClosePeer& effect) {
   const size_t other = by_name_.at(effect.peer);
   links_.erase({std::min(node, other), std::max(node, other)});
-  At(kSameDataCentre,
-     [this, node, peer = effect.peer] { Feed(node, PeerLost{peer}); });
+  Schedule(kSameDataCentreLatency,
+           [this, node, peer = effect.peer] { Deliver(node, PeerLost{peer}); });
 }
 
-void CapacityFleet::Do(size_t node, const SendGossip& effect) {
-  const uint64_t start = ProcessNanos();
+void CapacityFleet::ApplyEffect(size_t node, const SendGossip& effect) {
+  const uint64_t start = ProcessCpuNanos();
   std::string bytes = EncodeGossip(effect.message);
-  const uint64_t taken = NanosSince(start);
+  const uint64_t taken = CpuNanosSince(start);
   usage_.codec_ns += taken;
   ++usage_.messages;
-  Count(node, bytes.size(), taken);
+  RecordUsage(node, bytes.size(), taken);
   const auto found = by_name_.find(effect.to.ip);
   if (found == by_name_.end()) return;
   const size_t to = found->second;
-  if (!hosts_[to].up || !Reaches(node, to)) return;
+  if (!hosts_[to].up || !IsReachable(node, to)) return;
   const Endpoint from = hosts_[node].identity.gossip_address;
-  At(Latency(node, to), [this, to, from, bytes = std::move(bytes)] {
-    const uint64_t began = ProcessNanos();
+  Schedule(Latency(node, to), [this, to, from, bytes = std::move(bytes)] {
+    const uint64_t began = ProcessCpuNanos();
     Outcome<GossipMessage> message = DecodeGossip(bytes);
-    const uint64_t spent = NanosSince(began);
+    const uint64_t spent = CpuNanosSince(began);
     usage_.codec_ns += spent;
-    Count(to, 0, spent);
-    if (message) Feed(to, GossipReceived{from, std::move(message.value())});
+    RecordUsage(to, 0, spent);
+    if (message) Deliver(to, GossipReceived{from, std::move(message.value())});
   });
 }
 
-void CapacityFleet::Do(size_t node, const SendServer& effect) {
+void CapacityFleet::ApplyEffect(size_t node, const SendServer& effect) {
   const uint64_t dispatch = effect.dispatch;
-  At(kServiceTime, [this, node, dispatch] {
+  Schedule(kServiceTime, [this, node, dispatch] {
     HttpResponse response;
     response.status = 200;
-    response.body = Body(std::string(kBodyBytes, 'x'));
-    Feed(node, ServerReplied{dispatch, std::move(response)});
+    response.body = Body(std::string(kResponseBodyBytes, 'x'));
+    Deliver(node, ServerReplied{dispatch, std::move(response)});
   });
 }
 
-void CapacityFleet::Do(size_t, const CancelServer&) {
-  // Its answer comes all the same, after the fixed service time.
+void CapacityFleet::ApplyEffect(size_t, const CancelServer&) {
+  // Cancellation is not simulated: the server still answers after
+  // kServiceTime.
 }
 
-void CapacityFleet::Do(size_t node, const SendPlatform& effect) {
+void CapacityFleet::ApplyEffect(size_t node, const SendPlatform& effect) {
   PlatformReply reply = RunPlatform(effect.request);
-  At(kPlatformDelay, [this, node, op = effect.op, reply = std::move(reply)] {
-    Feed(node, PlatformReplied{op, reply});
-  });
+  Schedule(kPlatformLatency,
+           [this, node, op = effect.op, reply = std::move(reply)] {
+             Deliver(node, PlatformReplied{op, reply});
+           });
 }
 
-void CapacityFleet::Do(size_t node, const WakeAt& effect) {
-  Host& host = hosts_[node];
-  const uint64_t wake = ++host.wake;
+void CapacityFleet::ApplyEffect(size_t node, const WakeAt& effect) {
+  SimulatedHost& host = hosts_[node];
+  const uint64_t wake_generation = ++host.wake_generation;
   const Duration wait = std::max(effect.at - now_, Duration(0));
-  At(wait, [this, node, wake] {
-    if (hosts_[node].wake == wake) Feed(node, Tick{});
+  Schedule(wait, [this, node, wake_generation] {
+    if (hosts_[node].wake_generation == wake_generation) Deliver(node, Tick{});
   });
 }
 
--- a/src/bench/echo_server.cc
+++ b/src/bench/echo_server.cc
@@ -1,6 +1,6 @@
-// A backend server that does nothing but echo, for measuring the time that the
-// system adds. It announces itself to its node, answers each request with its
-// token, and says how many times it ran that token.
+// A backend server that echoes requests, for measuring the latency that the
+// system adds. Announces itself to its node, answers each request with the
+// request's token, and reports how many times it has run that token.
 
 #include <algorithm>
 #include <asio/io_context.hpp>
@@ -32,10 +32,11 @@
   uint32_t slots = 0;
   uint16_t port = 0;
   Endpoint node;
-  std::chrono::microseconds work{0};
+  std::chrono::microseconds service_time{0};
 };
 
-// How many times each token ran. A token is run << 32 | sequence.
+// Counts how many times each token ran. A token is run << 32 | sequence, where
+// run is the number of a load_tool run.
 class RunCounts {
  public:
   unsigned Add(uint64_t token) {
@@ -61,7 +62,7 @@
         announce_timer_(io) {
     pvt::HttpFrontendHooks hooks;
     hooks.on_request = [this](CallId call, const HttpRequest& request) {
-      Run(call, request);
+      HandleRequest(call, request);
     };
     hooks.on_gone = [](CallId) {};
     frontend_ = std::make_unique<pvt::HttpFrontend>(
@@ -73,10 +74,10 @@
 
   void Announce() {
     if (options_.node.port == 0) return;
-    const Endpoint own{options_.ip, port()};
+    const Endpoint own_address{options_.ip, port()};
     const nlohmann::json body = {{"server", options_.name},
                                  {"service", options_.service},
-                                 {"address", ToString(own)},
+                                 {"address", ToString(own_address)},
                                  {"slots", options_.slots}};
     client_.Send(options_.node,
                  {"POST", "/amaranth/v1/announce", {}, Body(body.dump())},
@@ -88,12 +89,13 @@
   }
 
  private:
-  void Run(CallId call, const HttpRequest& request) {
-    if (options_.work.count() == 0) {
+  void HandleRequest(CallId call, const HttpRequest& request) {
+    if (options_.service_time.count() == 0) {
       Echo(call, request);
       return;
     }
-    const auto timer = std::make_shared<asio::steady_timer>(io_, options_.work);
+    const auto timer =
+        std::make_shared<asio::steady_timer>(io_, options_.service_time);
     timer->async_wait([this, timer, call, request](const asio::error_code&) {
       Echo(call, request);
     });
@@ -102,9 +104,10 @@
   void Echo(CallId call, const HttpRequest& request) {
     const std::string token(FindHeader(request.headers, "X-Token"));
     HttpResponse response;
-    const uint64_t number = std::strtoull(token.c_str(), nullptr, 10);
-    response.headers = {{"X-Echo-Token", token},
-                        {"X-Echo-Runs", std::to_string(counts_.Add(number))}};
+    const uint64_t token_number = std::strtoull(token.c_str(), nullptr, 10);
+    response.headers = {
+        {"X-Echo-Token", token},
+        {"X-Echo-Runs", std::to_string(counts_.Add(token_number))}};
     response.body = request.body.size() > 0 ? request.body : Body(token);
     frontend_->Answer(call, response);
   }
@@ -125,29 +128,33 @@
 }
 
 Options Parse(int argc, char** argv) {
-  cxxopts::Options flags("echo_server", "A backend server that echoes.");
-  cxxopts::OptionAdder add = flags.add_options();
-  add("ip", "listen here",
+  cxxopts::Options parser("echo_server",
+                          "A backend server that echoes requests.");
+  cxxopts::OptionAdder add = parser.add_options();
+  add("ip", "IP address to listen on",
       cxxopts::value<std::string>()->default_value("127.0.0.1"));
-  add("port", "0 takes any", cxxopts::value<uint16_t>()->default_value("0"));
-  add("name", "server name",
+  add("port", "port to listen on; 0 for any free port",
+      cxxopts::value<uint16_t>()->default_value("0"));
+  add("name", "name of the backend server",
       cxxopts::value<std::string>()->default_value("echo-1"));
-  add("service", "service",
+  add("service", "name of the service",
       cxxopts::value<std::string>()->default_value("echo"));
-  add("slots", "slots", cxxopts::value<uint32_t>()->default_value("1000"));
-  add("node", "ip:port of the node to announce to; none if empty",
+  add("slots", "announced slots",
+      cxxopts::value<uint32_t>()->default_value("1000"));
+  add("node", "IP:PORT of the node to announce to; none if empty",
       cxxopts::value<std::string>()->default_value(""));
-  add("work-us", "time for each request",
+  add("work-us", "service time of each request in microseconds",
       cxxopts::value<int64_t>()->default_value("0"));
-  const cxxopts::ParseResult given = flags.parse(argc, argv);
+  const cxxopts::ParseResult parsed = parser.parse(argc, argv);
   Options options;
-  options.ip = given["ip"].as<std::string>();
-  options.port = given["port"].as<uint16_t>();
-  options.name = given["name"].as<std::string>();
-  options.service = given["service"].as<std::string>();
-  options.slots = given["slots"].as<uint32_t>();
-  options.node = ToEndpoint(given["node"].as<std::string>());
-  options.work = std::chrono::microseconds(given["work-us"].as<int64_t>());
+  options.ip = parsed["ip"].as<std::string>();
+  options.port = parsed["port"].as<uint16_t>();
+  options.name = parsed["name"].as<std::string>();
+  options.service = parsed["service"].as<std::string>();
+  options.slots = parsed["slots"].as<uint32_t>();
+  options.node = ToEndpoint(parsed["node"].as<std::string>());
+  options.service_time =
+      std::chrono::microseconds(parsed["work-us"].as<int64_t>());
   return options;
 }
 
--- a/src/bench/load_report.cc
+++ b/src/bench/load_report.cc
@@ -10,53 +10,53 @@
 
 constexpr double kLowestMicros = 1;
 constexpr double kHighestMicros = 1e8;
-constexpr unsigned kSteps = 1852;  // 1.01 to the 1852nd is 1e8
+constexpr unsigned kBinCount = 1852;  // 1.01^1852 is about 1e8
 
-struct Share {
+struct Percentile {
   const char* name;
-  double share;
+  double fraction;
 };
-constexpr std::array<Share, 5> kShares = {{{"p50", 0.5},
-                                           {"p90", 0.9},
-                                           {"p99", 0.99},
-                                           {"p99.9", 0.999},
-                                           {"max", 1.0}}};
+constexpr std::array<Percentile, 5> kPercentiles = {{{"p50", 0.5},
+                                                     {"p90", 0.9},
+                                                     {"p99", 0.99},
+                                                     {"p99.9", 0.999},
+                                                     {"max", 1.0}}};
 
 }  // namespace
 
 LatencyHistogram::LatencyHistogram()
     : histogram_(boost::histogram::make_histogram(
-          Axis(kSteps, kLowestMicros, kHighestMicros))) {}
+          Axis(kBinCount, kLowestMicros, kHighestMicros))) {}
 
 void LatencyHistogram::Add(double micros) {
   histogram_(micros);
   ++count_;
 }
 
-double LatencyHistogram::Quantile(double share) const {
-  const double wanted = std::ceil(share * static_cast<double>(count_));
+double LatencyHistogram::Quantile(double fraction) const {
+  const double rank = std::ceil(fraction * static_cast<double>(count_));
   if (count_ == 0) return 0;
   double seen = 0;
   const Axis& axis = histogram_.axis();
   for (int i = -1; i <= axis.size(); ++i) {
     seen += histogram_.at(i);
-    if (seen >= wanted) return axis.value(i + 1);
+    if (seen >= rank) return axis.value(i + 1);
   }
   return kHighestMicros;
 }
 
-std::string LoadReport::Text() const {
+std::string LoadReport::ToText() const {
   std::array<char, 200> line{};
   std::string text;
   const double answered = static_cast<double>(latency.count());
   std::snprintf(line.data(), line.size(),
-                "sent %llu in %.1f s, whole answers %.0f (%.0f/s)\n",
+                "sent %llu in %.1f s, complete answers %.0f (%.0f/s)\n",
                 static_cast<unsigned long long>(sent), seconds, answered,
                 answered / seconds);
   text += line.data();
-  for (const Share& entry : kShares) {
+  for (const Percentile& entry : kPercentiles) {
     std::snprintf(line.data(), line.size(), "  %-6s %10.3f ms\n", entry.name,
-                  latency.Quantile(entry.share) / 1000);
+                  latency.Quantile(entry.fraction) / 1000);
     text += line.data();
   }
   for (const auto& [outcome, count] : outcomes) {
@@ -68,7 +68,7 @@
   return text;
 }
 
-std::string LoadReport::Json() const {
+std::string LoadReport::ToJson() const {
   nlohmann::json json = {{"sent", sent},
                          {"seconds", seconds},
                          {"answered", latency.count()},
@@ -76,8 +76,8 @@
                          {"duplicates", duplicates},
                          {"unfinished", unfinished},
                          {"outcomes", outcomes}};
-  for (const Share& entry : kShares) {
-    json["ms"][entry.name] = latency.Quantile(entry.share) / 1000;
+  for (const Percentile& entry : kPercentiles) {
+    json["ms"][entry.name] = latency.Quantile(entry.fraction) / 1000;
   }
   return json.dump();
 }
--- a/src/bench/load_report.h
+++ b/src/bench/load_report.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_BENCH_LOAD_REPORT_H_
 #define AMARANTHROUTE_BENCH_LOAD_REPORT_H_
 
-// What a load run found: latencies, verdicts, and answers that were not one's
-// own.
+// The results of a load run: latencies, verdicts, and answers that belong to
+// another request.
 
 #include <boost/histogram.hpp>
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 namespace amaranth::bench {
 
-// Latencies from 1 us to 100 s in steps of about 1 in 100.
+// Latencies from 1 us to 100 s, in logarithmic bins 1% wide.
 class LatencyHistogram {
  public:
   LatencyHistogram();
 
   void Add(double micros);
   uint64_t count() const { return count_; }
-  // The latency that `share` of all stayed at or under, to the upper edge of
-  // its step; 0 if there are none.
-  double Quantile(double share) const;
+  // Returns the upper edge, in microseconds, of the bin that contains the
+  // `fraction` quantile (0 to 1); 0 if the histogram is empty.
+  double Quantile(double fraction) const;
 
  private:
   using Axis =
@@ -32,16 +32,17 @@
 };
 
 struct LoadReport {
-  LatencyHistogram latency;                  // whole answers with a 2xx status
-  std::map<std::string, uint64_t> outcomes;  // "ok", or verdict and reason
+  LatencyHistogram latency;  // complete answers with a 2xx status
+  std::map<std::string, uint64_t>
+      outcomes;  // "ok", or status, verdict and reason
   uint64_t sent = 0;
-  uint64_t crossed = 0;     // an answer with another request's token
-  uint64_t duplicates = 0;  // answers that say their request ran before
-  uint64_t unfinished = 0;  // no answer when the run ended
+  uint64_t crossed = 0;     // answers with another request's token
+  uint64_t duplicates = 0;  // answers whose X-Echo-Runs is not 1
+  uint64_t unfinished = 0;  // without an answer when the run ended
   double seconds = 0;
 
-  std::string Text() const;
-  std::string Json() const;
+  std::string ToText() const;
+  std::string ToJson() const;
 };
 
 }  // namespace amaranth::bench
--- a/src/bench/load_tool.cc
+++ b/src/bench/load_tool.cc
@@ -1,9 +1,11 @@
-// Load over HTTP: an open loop at a given rate, or a closed loop that sends as
-// fast as answers come. Each request carries a token that the echo server (or
-// another stand-in that echoes X-Token) gives back.
+// Generates load over HTTP: an open loop at a given rate, or a closed loop that
+// sends the next request on a connection when the previous answer has arrived.
+// Each request carries a token in X-Token that the echo server (or another
+// backend server with the same protocol) returns in X-Echo-Token.
 //
-// In the open loop latency counts from the moment at which the request was due,
-// so a stall of the system shows in full and not just in one request.
+// In the open loop latency is measured from the time at which a request was
+// due. Otherwise a stall of the system would show in only one request per
+// connection (coordinated omission).
 
 #include <http_parser.h>
 
@@ -44,57 +46,59 @@
   bool json = false;
 };
 
-struct Job {
+struct ScheduledRequest {
   uint64_t token = 0;
   Clock::time_point due;
 };
 
-enum class Ending { kWhole, kNotConnected, kBrokenOff };
+enum class ExchangeResult { kComplete, kConnectFailed, kConnectionLost };
 
 double Micros(Clock::duration duration) {
   return std::chrono::duration<double, std::micro>(duration).count();
 }
 
-// One kept-alive connection with at most one request on it.
+// A keep-alive connection with at most one request in flight.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  using Done = std::function<void(Connection&, const Job&, Ending)>;
+  using FinishedCallback =
+      std::function<void(Connection&, const ScheduledRequest&, ExchangeResult)>;
 
-  Connection(asio::io_context& io, const Options& options, Done done)
-      : socket_(io), options_(options), done_(std::move(done)) {
+  Connection(asio::io_context& io, const Options& options,
+             FinishedCallback on_finished)
+      : socket_(io), options_(options), on_finished_(std::move(on_finished)) {
     http_parser_settings_init(&settings_);
     settings_.on_header_field = [](http_parser* parser, const char* at,
                                    size_t size) {
-      return Self(parser).TakeField({at, size});
+      return FromParser(parser).OnHeaderName({at, size});
     };
     settings_.on_header_value = [](http_parser* parser, const char* at,
                                    size_t size) {
-      return Self(parser).TakeValue({at, size});
+      return FromParser(parser).OnHeaderValue({at, size});
     };
     settings_.on_body = [](http_parser* parser, const char* at, size_t size) {
-      Self(parser).body.append(at, size);
+      FromParser(parser).body.append(at, size);
       return 0;
     };
     settings_.on_message_complete = [](http_parser* parser) {
-      Self(parser).complete_ = true;
+      FromParser(parser).response_complete_ = true;
       return 0;
     };
   }
 
-  void Send(const Job& job) {
-    job_ = job;
+  void Send(const ScheduledRequest& request) {
+    current_ = request;
     echoed.clear();
     runs.clear();
     body.clear();
-    complete_ = false;
+    response_complete_ = false;
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
     if (!socket_.is_open() && !Connect()) {
-      Finish(Ending::kNotConnected);
+      Finish(ExchangeResult::kConnectFailed);
       return;
     }
-    request_ = Format(job.token);
-    asio::async_write(socket_, asio::buffer(request_),
+    request_text_ = FormatRequest(request.token);
+    asio::async_write(socket_, asio::buffer(request_text_),
                       [](const asio::error_code&, size_t) {});
     Read();
   }
@@ -106,19 +110,19 @@
   std::string body;
 
  private:
-  static Connection& Self(http_parser* parser) {
+  static Connection& FromParser(http_parser* parser) {
     return *static_cast<Connection*>(parser->data);
   }
 
-  int TakeField(std::string_view name) {
-    value_ = nullptr;
-    if (name == "X-Echo-Token") value_ = &echoed;
-    if (name == "X-Echo-Runs") value_ = &runs;
+  int OnHeaderName(std::string_view name) {
+    header_value_ = nullptr;
+    if (name == "X-Echo-Token") header_value_ = &echoed;
+    if (name == "X-Echo-Runs") header_value_ = &runs;
     return 0;
   }
 
-  int TakeValue(std::string_view value) {
-    if (value_ != nullptr) value_->append(value);
+  int OnHeaderValue(std::string_view value) {
+    if (header_value_ != nullptr) header_value_->append(value);
     return 0;
   }
 
@@ -130,7 +134,7 @@
     return !error;
   }
 
-  std::string Format(uint64_t token) const {
+  std::string FormatRequest(uint64_t token) const {
     std::string text =
         options_.method + " " + options_.path +
         " HTTP/1.1\r\nHost: load\r\nX-Token: " + std::to_string(token) + "\r\n";
@@ -153,40 +157,40 @@
 
   void OnRead(const asio::error_code& error, size_t size) {
     if (error) {
-      Drop();
+      HandleConnectionLoss();
       return;
     }
-    const size_t parsed =
+    const size_t consumed =
         http_parser_execute(&parser_, &settings_, buffer_.data(), size);
-    if (parsed != size) {
-      Drop();
+    if (consumed != size) {
+      HandleConnectionLoss();
       return;
     }
-    if (!complete_) {
+    if (!response_complete_) {
       Read();
       return;
     }
     if (http_should_keep_alive(&parser_) == 0) socket_.close();
-    Finish(Ending::kWhole);
+    Finish(ExchangeResult::kComplete);
   }
 
-  void Drop() {
+  void HandleConnectionLoss() {
     asio::error_code ignored;
     socket_.close(ignored);
-    Finish(Ending::kBrokenOff);
+    Finish(ExchangeResult::kConnectionLost);
   }
 
-  void Finish(Ending ending) { done_(*this, job_, ending); }
+  void Finish(ExchangeResult result) { on_finished_(*this, current_, result); }
 
   asio::ip::tcp::socket socket_;
   const Options& options_;
-  Done done_;
-  Job job_;
+  FinishedCallback on_finished_;
+  ScheduledRequest current_;
   http_parser parser_{};
   http_parser_settings settings_{};
-  std::string* value_ = nullptr;
-  bool complete_ = false;
-  std::string request_;
+  std::string* header_value_ = nullptr;
+  bool response_complete_ = false;
+  std::string request_text_;
   std::array<char, 65536> buffer_{};
 };
 
@@ -197,8 +201,9 @@
     for (size_t i = 0; i < options.connections; ++i) {
       idle_.push_back(std::make_shared<Connection>(
           io, options,
-          [this](Connection& connection, const Job& job, Ending ending) {
-            OnDone(connection, job, ending);
+          [this](Connection& connection, const ScheduledRequest& request,
+                 ExchangeResult result) {
+            OnFinished(connection, request, result);
           }));
     }
   }
@@ -212,7 +217,7 @@
     } else {
       FillIdle();
     }
-    // Requests sent near the end get a while to come back.
+    // Waits up to 5 s for the answers to requests sent near the end.
     io_.run_until(end_ + std::chrono::seconds(5));
     report_.unfinished = sent_measured_ - finished_measured_;
     report_.sent = sent_measured_;
@@ -227,7 +232,8 @@
   }
 
   void ScheduleNext() {
-    const Clock::time_point due = start_ + Seconds(scheduled_ / options_.rate);
+    const Clock::time_point due =
+        start_ + Seconds(scheduled_count_ / options_.rate);
     if (due >= end_) return;
     timer_.expires_at(due);
     timer_.async_wait([this](const asio::error_code& error) {
@@ -239,9 +245,9 @@
     const Clock::time_point now = Clock::now();
     while (true) {
       const Clock::time_point due =
-          start_ + Seconds(scheduled_ / options_.rate);
+          start_ + Seconds(scheduled_count_ / options_.rate);
       if (due > now || due >= end_) break;
-      scheduled_ += 1;
+      scheduled_count_ += 1;
       Submit(due);
     }
     ScheduleNext();
@@ -252,55 +258,60 @@
   }
 
   void Submit(Clock::time_point due) {
-    const Job job{options_.run << 32 | next_sequence_++, due};
-    if (Measured(job)) ++sent_measured_;
-    waiting_.push_back(job);
-    SendWaiting();
+    const ScheduledRequest request{options_.run << 32 | next_sequence_++, due};
+    if (IsMeasured(request)) ++sent_measured_;
+    queue_.push_back(request);
+    SendQueued();
   }
 
-  void SendWaiting() {
-    while (!waiting_.empty() && !idle_.empty()) {
+  void SendQueued() {
+    while (!queue_.empty() && !idle_.empty()) {
       const std::shared_ptr<Connection> connection = std::move(idle_.back());
       idle_.pop_back();
-      const Job job = waiting_.front();
-      waiting_.pop_front();
-      connection->Send(job);
+      const ScheduledRequest request = queue_.front();
+      queue_.pop_front();
+      connection->Send(request);
     }
   }
 
-  bool Measured(const Job& job) const { return job.due >= measure_from_; }
+  bool IsMeasured(const ScheduledRequest& request) const {
+    return request.due >= measure_from_;
+  }
 
-  void OnDone(Connection& connection, const Job& job, Ending ending) {
-    if (Measured(job)) Count(connection, job, ending);
-    // Posted: a failing connect would otherwise recurse without end.
-    asio::post(io_, [this, kept = connection.shared_from_this()] {
-      idle_.push_back(kept);
+  void OnFinished(Connection& connection, const ScheduledRequest& request,
+                  ExchangeResult result) {
+    if (IsMeasured(request)) RecordResult(connection, request, result);
+    // Posted, because a connect that fails at once calls OnFinished() from
+    // Send(): sending the next request from here would recurse without bound.
+    asio::post(io_, [this, finished = connection.shared_from_this()] {
+      idle_.push_back(finished);
       if (options_.rate > 0) {
-        SendWaiting();
+        SendQueued();
       } else {
         FillIdle();
       }
     });
   }
 
-  void Count(const Connection& connection, const Job& job, Ending ending) {
+  void RecordResult(const Connection& connection,
+                    const ScheduledRequest& request, ExchangeResult result) {
     ++finished_measured_;
-    if (ending != Ending::kWhole) {
-      const bool connected = ending != Ending::kNotConnected;
+    if (result != ExchangeResult::kComplete) {
+      const bool connected = result != ExchangeResult::kConnectFailed;
       ++report_.outcomes[connected ? "broken off" : "not connected"];
       return;
     }
     if (connection.status() / 100 == 2) {
       ++report_.outcomes["ok"];
-      report_.latency.Add(Micros(Clock::now() - job.due));
-      if (connection.echoed != std::to_string(job.token)) ++report_.crossed;
+      report_.latency.Add(Micros(Clock::now() - request.due));
+      if (connection.echoed != std::to_string(request.token)) ++report_.crossed;
       if (connection.runs != "1") ++report_.duplicates;
       return;
     }
-    ++report_.outcomes[Failure(connection)];
+    ++report_.outcomes[FailureLabel(connection)];
   }
 
-  static std::string Failure(const Connection& connection) {
+  static std::string FailureLabel(const Connection& connection) {
     const nlohmann::json body =
         nlohmann::json::parse(connection.body, nullptr, false);
     if (!body.is_object()) return std::to_string(connection.status());
@@ -312,11 +323,11 @@
   const Options& options_;
   asio::steady_timer timer_;
   std::vector<std::shared_ptr<Connection>> idle_;
-  std::deque<Job> waiting_;
+  std::deque<ScheduledRequest> queue_;
   Clock::time_point start_;
   Clock::time_point measure_from_;
   Clock::time_point end_;
-  double scheduled_ = 0;
+  double scheduled_count_ = 0;
   uint64_t next_sequence_ = 1;
   uint64_t sent_measured_ = 0;
   uint64_t finished_measured_ = 0;
@@ -326,46 +337,49 @@
 asio::ip::tcp::endpoint ToEndpoint(const std::string& text) {
   const size_t colon = text.rfind(':');
   if (colon == std::string::npos) {
-    throw std::runtime_error("--target takes IP:PORT");
+    throw std::runtime_error("invalid --target: expected IP:PORT");
   }
   return {asio::ip::make_address(text.substr(0, colon)),
           static_cast<uint16_t>(std::stoul(text.substr(colon + 1)))};
 }
 
 Options Parse(int argc, char** argv) {
-  cxxopts::Options flags("load_tool", "Load over HTTP.");
-  cxxopts::OptionAdder add = flags.add_options();
-  add("target", "ip:port", cxxopts::value<std::string>());
+  cxxopts::Options parser("load_tool", "Generates load over HTTP.");
+  cxxopts::OptionAdder add = parser.add_options();
+  add("target", "IP:PORT to send to", cxxopts::value<std::string>());
   add("method", "GET or POST",
       cxxopts::value<std::string>()->default_value("GET"));
-  add("path", "target", cxxopts::value<std::string>()->default_value("/"));
-  add("header", "'Name: value', may be repeated",
+  add("path", "request target",
+      cxxopts::value<std::string>()->default_value("/"));
+  add("header", "header field as 'Name: value'; may be repeated",
       cxxopts::value<std::vector<std::string>>()->default_value(
           "X-Amaranth-Service: echo"));
-  add("rate", "requests a second; 0 is a closed loop",
+  add("rate", "requests per second; 0 for a closed loop",
       cxxopts::value<double>()->default_value("0"));
-  add("connections", "connections",
+  add("connections", "number of connections",
       cxxopts::value<size_t>()->default_value("32"));
-  add("seconds", "measured time",
+  add("seconds", "length of the measurement in seconds",
       cxxopts::value<double>()->default_value("10"));
-  add("warmup", "seconds before", cxxopts::value<double>()->default_value("1"));
-  add("body-bytes", "of a POST", cxxopts::value<size_t>()->default_value("0"));
-  add("run", "number of this run, in the tokens",
+  add("warmup", "seconds before the measurement",
+      cxxopts::value<double>()->default_value("1"));
+  add("body-bytes", "body size of a POST in bytes",
+      cxxopts::value<size_t>()->default_value("0"));
+  add("run", "number of this run, part of each token",
       cxxopts::value<uint64_t>()->default_value("1"));
-  add("json", "print JSON");
-  const cxxopts::ParseResult given = flags.parse(argc, argv);
+  add("json", "print the report as JSON");
+  const cxxopts::ParseResult parsed = parser.parse(argc, argv);
   Options options;
-  options.target = ToEndpoint(given["target"].as<std::string>());
-  options.method = given["method"].as<std::string>();
-  options.path = given["path"].as<std::string>();
-  options.headers = given["header"].as<std::vector<std::string>>();
-  options.rate = given["rate"].as<double>();
-  options.connections = given["connections"].as<size_t>();
-  options.seconds = given["seconds"].as<double>();
-  options.warmup = given["warmup"].as<double>();
-  options.body_bytes = given["body-bytes"].as<size_t>();
-  options.run = given["run"].as<uint64_t>();
-  options.json = given.count("json") > 0;
+  options.target = ToEndpoint(parsed["target"].as<std::string>());
+  options.method = parsed["method"].as<std::string>();
+  options.path = parsed["path"].as<std::string>();
+  options.headers = parsed["header"].as<std::vector<std::string>>();
+  options.rate = parsed["rate"].as<double>();
+  options.connections = parsed["connections"].as<size_t>();
+  options.seconds = parsed["seconds"].as<double>();
+  options.warmup = parsed["warmup"].as<double>();
+  options.body_bytes = parsed["body-bytes"].as<size_t>();
+  options.run = parsed["run"].as<uint64_t>();
+  options.json = parsed.count("json") > 0;
   return options;
 }
 
@@ -375,7 +389,7 @@
     asio::io_context io(1);
     LoadTool tool(io, options);
     const LoadReport report = tool.Run();
-    std::cout << (options.json ? report.Json() + "\n" : report.Text());
+    std::cout << (options.json ? report.ToJson() + "\n" : report.ToText());
     return report.crossed + report.duplicates == 0 ? 0 : 1;
   } catch (const std::exception& error) {
     std::cerr << "load_tool: " << error.what() << "\n";
--- a/src/bench/placement.cc
+++ b/src/bench/placement.cc
@@ -12,12 +12,13 @@
 namespace amaranth::bench {
 namespace {
 
-constexpr size_t kKeys = 50'000;
+constexpr size_t kKeyCount = 50'000;
 
-// Random disk labelling: a name takes `weight` free slots of a prime number of
-// slots; a key probes from a hashed start by a hashed step until a slot has a
-// name. Slots are found by hash of name and probing, so that every node that
-// knows the same names in the same order agrees.
+// Random disk labelling: each name owns `weight` slots out of a prime number of
+// slots; a key probes from a hashed start by a hashed step until it finds a
+// slot with an owner. Slots are assigned by the hash of the name and linear
+// probing, so all nodes that know the same names in the same order build the
+// same table.
 class SlotTable {
  public:
   SlotTable(const std::vector<std::string>& names, size_t slots, size_t weight)
@@ -43,10 +44,11 @@
   std::vector<int> owner_;
 };
 
-using Choice = std::function<std::string(const std::string& key)>;
-using Builder = std::function<Choice(const std::vector<std::string>& names)>;
+using Chooser = std::function<std::string(const std::string& key)>;
+using ChooserBuilder =
+    std::function<Chooser(const std::vector<std::string>& names)>;
 
-std::vector<std::string> Names(size_t count) {
+std::vector<std::string> HostNames(size_t count) {
   std::vector<std::string> names;
   for (size_t i = 0; i < count; ++i) {
     names.push_back("host-" + std::to_string(i));
@@ -54,62 +56,64 @@
   return names;
 }
 
-std::vector<std::string> PlaceAll(const Choice& choose) {
-  std::vector<std::string> placed;
-  for (size_t key = 0; key < kKeys; ++key) {
-    placed.push_back(choose("key-" + std::to_string(key)));
+std::vector<std::string> PlaceKeys(const Chooser& choose) {
+  std::vector<std::string> placement;
+  for (size_t key = 0; key < kKeyCount; ++key) {
+    placement.push_back(choose("key-" + std::to_string(key)));
   }
-  return placed;
+  return placement;
 }
 
-double Moved(const std::vector<std::string>& a,
-             const std::vector<std::string>& b) {
+double MovedPercent(const std::vector<std::string>& a,
+                    const std::vector<std::string>& b) {
   size_t moved = 0;
   for (size_t i = 0; i < a.size(); ++i) moved += a[i] == b[i] ? 0 : 1;
   return 100.0 * static_cast<double>(moved) / static_cast<double>(a.size());
 }
 
-void Measure(std::ostream& out, const std::string& method, size_t count,
-             const Builder& build) {
+void MeasureMethod(std::ostream& out, const std::string& method, size_t count,
+                   const ChooserBuilder& build) {
   using Clock = std::chrono::steady_clock;
-  const std::vector<std::string> names = Names(count);
-  const Clock::time_point began = Clock::now();
-  const Choice choose = build(names);
+  const std::vector<std::string> names = HostNames(count);
+  const Clock::time_point start = Clock::now();
+  const Chooser choose = build(names);
   const Clock::time_point built = Clock::now();
-  const std::vector<std::string> placed = PlaceAll(choose);
-  const Clock::time_point ended = Clock::now();
+  const std::vector<std::string> placement = PlaceKeys(choose);
+  const Clock::time_point end = Clock::now();
 
   std::vector<size_t> loads;
   loads.reserve(names.size());
   for (const std::string& name : names) {
-    loads.push_back(
-        static_cast<size_t>(std::count(placed.begin(), placed.end(), name)));
+    loads.push_back(static_cast<size_t>(
+        std::count(placement.begin(), placement.end(), name)));
   }
-  const double mean = static_cast<double>(kKeys) / static_cast<double>(count);
-  double squares = 0;
+  const double mean =
+      static_cast<double>(kKeyCount) / static_cast<double>(count);
+  double sum_of_squares = 0;
   for (const size_t load : loads) {
-    squares += std::pow(static_cast<double>(load) - mean, 2);
+    sum_of_squares += std::pow(static_cast<double>(load) - mean, 2);
   }
   const double deviation =
-      std::sqrt(squares / static_cast<double>(count)) / mean;
-  const size_t most = *std::max_element(loads.begin(), loads.end());
-
-  std::vector<std::string> fewer = names;
-  fewer.erase(fewer.begin() + static_cast<ptrdiff_t>(count / 2));
-  std::vector<std::string> more = Names(count + 1);
-  const std::chrono::duration<double, std::micro> build_time = built - began;
-  const std::chrono::duration<double, std::micro> choose_time = ended - built;
+      std::sqrt(sum_of_squares / static_cast<double>(count)) / mean;
+  const size_t max_load = *std::max_element(loads.begin(), loads.end());
+
+  std::vector<std::string> names_after_removal = names;
+  names_after_removal.erase(names_after_removal.begin() +
+                            static_cast<ptrdiff_t>(count / 2));
+  std::vector<std::string> names_after_addition = HostNames(count + 1);
+  const std::chrono::duration<double, std::micro> build_time = built - start;
+  const std::chrono::duration<double, std::micro> choose_time = end - built;
   out << method << ',' << count << ',' << deviation * 100 << ','
-      << static_cast<double>(most) / mean << ','
-      << Moved(placed, PlaceAll(build(more))) << ','
+      << static_cast<double>(max_load) / mean << ','
+      << MovedPercent(placement, PlaceKeys(build(names_after_addition))) << ','
       << 100.0 / static_cast<double>(count + 1) << ','
-      << Moved(placed, PlaceAll(build(fewer))) << ','
+      << MovedPercent(placement, PlaceKeys(build(names_after_removal))) << ','
       << 100.0 / static_cast<double>(count) << ',' << build_time.count() << ','
-      << choose_time.count() / static_cast<double>(kKeys) << '\n';
+      << choose_time.count() / static_cast<double>(kKeyCount) << '\n';
 }
 
-Builder Slots(size_t slots, size_t weight) {
-  return [slots, weight](const std::vector<std::string>& names) -> Choice {
+ChooserBuilder SlotTableBuilder(size_t slots, size_t weight) {
+  return [slots, weight](const std::vector<std::string>& names) -> Chooser {
     const SlotTable table(names, slots, weight);
     return [names, table](const std::string& key) {
       return names[table.Choose(key)];
@@ -117,7 +121,7 @@
   };
 }
 
-Choice Rendezvous(const std::vector<std::string>& names) {
+Chooser BuildRendezvous(const std::vector<std::string>& names) {
   return [names](const std::string& key) {
     return RendezvousChoose(names, key, 1).front();
   };
@@ -130,10 +134,11 @@
   out << "method,names,load deviation %,most/mean,moved on add %,least %,"
          "moved on remove %,least %,build us,choose us\n";
   for (const size_t count : {3u, 10u, 80u, 320u}) {
-    Measure(out, "rendezvous", count, Rendezvous);
-    Measure(out, "slots x1 of 65537", count, Slots(kSlots, 1));
-    Measure(out, "slots x20 of 65537", count, Slots(kSlots, 20));
-    Measure(out, "slots x1 of 1009", count, Slots(1009, 1));
+    MeasureMethod(out, "rendezvous", count, BuildRendezvous);
+    MeasureMethod(out, "slots x1 of 65537", count, SlotTableBuilder(kSlots, 1));
+    MeasureMethod(out, "slots x20 of 65537", count,
+                  SlotTableBuilder(kSlots, 20));
+    MeasureMethod(out, "slots x1 of 1009", count, SlotTableBuilder(1009, 1));
   }
 }
 
--- a/src/bench/placement.h
+++ b/src/bench/placement.h
@@ -5,9 +5,10 @@
 
 namespace amaranth::bench {
 
-/// Balance, movement and cost of rendezvous hashing beside random disk
-/// labelling (double hashing over P slots, a weight as that many slots), as
-/// CSV; see docs/design/placement.md.
+/// Writes the balance, key movement and CPU cost of rendezvous hashing and of
+/// random disk labelling as CSV. Random disk labelling is double hashing over a
+/// prime number of slots, of which each name owns `weight`. See
+/// docs/design/placement.md.
 void MeasurePlacement(std::ostream& out);
 
 }  // namespace amaranth::bench
--- a/src/bench/plot_policy.sh
+++ b/src/bench/plot_policy.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Goodput over time of the policies in each scenario of one topology, as SVG.
+# Plots the goodput of the policies over time as SVG, one file for each scenario
+# of one topology.
 # Usage: plot_policy.sh POLICY_BENCH OUT_DIR [TOPOLOGY] [policy_bench options]
 set -euo pipefail
 
@@ -13,7 +14,7 @@
   --series "$out/policy_series.csv" "$@"
 series=$out/policy_series.csv
 
-# Means over a second, in good answers per second: one file for each line.
+# Sums the good answers of each second: one data file for each plotted line.
 for scenario in $(tail -n +2 "$series" | cut -d, -f2 | sort -u); do
   for policy in none fixed-limit amaranthroute; do
     awk -F, -v scenario="$scenario" -v policy="$policy" \
@@ -29,7 +30,7 @@
 set output "$out/$topology-$scenario.svg"
 set title "$topology, $scenario"
 set xlabel "seconds"
-set ylabel "whole requests answered in time, per second"
+set ylabel "requests answered within the deadline, per second"
 set yrange [0:*]
 set key outside
 plot "$out/$scenario.none.dat" with lines title "no control", \
--- a/src/bench/policy_bench.cc
+++ b/src/bench/policy_bench.cc
@@ -1,5 +1,6 @@
-// The decisions under load, measured: real reducers, fake backend servers,
-// virtual time. See docs/PERFORMANCE.md for what the columns mean.
+// Measures the overload decisions of each policy: real reducers and fake
+// backend servers in virtual time. The columns are described in
+// docs/PERFORMANCE.md.
 
 #include <atomic>
 #include <cxxopts.hpp>
@@ -33,19 +34,19 @@
   RunResult result;
 };
 
-bool Wanted(const std::string& filter, const std::string& name) {
+bool Matches(const std::string& filter, const std::string& name) {
   return filter.empty() || filter == name;
 }
 
-std::vector<Job> JobsOf(const Options& options) {
+std::vector<Job> SelectJobs(const Options& options) {
   std::vector<Job> jobs;
   for (const Topology& topology : Topologies()) {
-    if (!Wanted(options.topology, topology.name)) continue;
+    if (!Matches(options.topology, topology.name)) continue;
     for (const Scenario& scenario : Scenarios()) {
-      if (!Wanted(options.scenario, scenario.name)) continue;
+      if (!Matches(options.scenario, scenario.name)) continue;
       for (const Policy policy : {Policy::kNone, Policy::kFixedLimit,
                                   Policy::kSlots, Policy::kAmaranth}) {
-        if (!Wanted(options.policy, ToString(policy))) continue;
+        if (!Matches(options.policy, ToString(policy))) continue;
         jobs.push_back({topology, scenario, policy, {}});
       }
     }
@@ -78,7 +79,7 @@
   for (size_t bin = 0; bin < job.result.bins.size(); ++bin) {
     out << job.topology.name << ',' << job.scenario.name << ','
         << ToString(job.policy) << ','
-        << std::chrono::duration<double>(kBin * bin).count() << ','
+        << std::chrono::duration<double>(kBinLength * bin).count() << ','
         << job.result.bins[bin].offered << ',' << job.result.bins[bin].good
         << '\n';
   }
@@ -86,39 +87,42 @@
 
 void RunAll(std::vector<Job>& jobs, const Options& options) {
   std::atomic<size_t> next{0};
-  std::mutex printing;
-  const auto work = [&] {
-    for (size_t at = next++; at < jobs.size(); at = next++) {
-      Job& job = jobs[at];
+  std::mutex output_mutex;
+  const auto run_jobs = [&] {
+    for (size_t index = next++; index < jobs.size(); index = next++) {
+      Job& job = jobs[index];
       job.result = Run(job.topology, job.scenario, job.policy, options.run);
-      const std::lock_guard<std::mutex> lock(printing);
+      const std::lock_guard<std::mutex> lock(output_mutex);
       WriteResult(std::cerr, job);
     }
   };
   std::vector<std::thread> threads;
   threads.reserve(static_cast<size_t>(options.jobs));
-  for (int i = 0; i < options.jobs; ++i) threads.emplace_back(work);
+  for (int i = 0; i < options.jobs; ++i) threads.emplace_back(run_jobs);
   for (std::thread& thread : threads) thread.join();
 }
 
 Options ParseOptions(int argc, char** argv) {
-  cxxopts::Options parser("policy_bench", "Decisions under load, measured.");
+  cxxopts::Options parser("policy_bench",
+                          "Measures overload decisions under load.");
   Options options;
-  parser.add_options()("topology", "only this one",
+  parser.add_options()("topology", "run only this topology",
                        cxxopts::value(options.topology))(
-      "scenario", "only this one", cxxopts::value(options.scenario))(
-      "policy", "only this one", cxxopts::value(options.policy))(
-      "csv", "write results here", cxxopts::value(options.csv))(
-      "series", "write goodput over time here", cxxopts::value(options.series))(
-      "jobs", "runs at the same time", cxxopts::value(options.jobs))(
-      "seed", "of the fleet", cxxopts::value(options.run.seed))(
-      "quick", "5 s trigger instead of 30 s")("help", "this text");
-  const cxxopts::ParseResult given = parser.parse(argc, argv);
-  if (given.count("help") > 0) {
+      "scenario", "run only this scenario", cxxopts::value(options.scenario))(
+      "policy", "run only this policy", cxxopts::value(options.policy))(
+      "csv", "file for the results", cxxopts::value(options.csv))(
+      "series", "file for the goodput over time",
+      cxxopts::value(options.series))("jobs", "number of concurrent runs",
+                                      cxxopts::value(options.jobs))(
+      "seed", "random seed of the fleet", cxxopts::value(options.run.seed))(
+      "quick", "3 s before, 5 s of and 10 s after the trigger")(
+      "help", "print this help");
+  const cxxopts::ParseResult parsed = parser.parse(argc, argv);
+  if (parsed.count("help") > 0) {
     std::cout << parser.help();
     std::exit(0);
   }
-  if (given.count("quick") > 0) {
+  if (parsed.count("quick") > 0) {
     options.run.before = std::chrono::seconds(3);
     options.run.trigger = std::chrono::seconds(5);
     options.run.after = std::chrono::seconds(10);
@@ -128,7 +132,7 @@
 
 int Main(int argc, char** argv) {
   const Options options = ParseOptions(argc, argv);
-  std::vector<Job> jobs = JobsOf(options);
+  std::vector<Job> jobs = SelectJobs(options);
   RunAll(jobs, options);
   std::ofstream csv(options.csv);
   csv << "topology,scenario,policy,critical_good,critical_allowed,"
--- a/src/bench/policy_cases.h
+++ b/src/bench/policy_cases.h
@@ -1,7 +1,7 @@
 #ifndef AMARANTHROUTE_BENCH_POLICY_CASES_H_
 #define AMARANTHROUTE_BENCH_POLICY_CASES_H_
 
-// The call graphs and the troubles that the policy bench plays.
+// The topologies and overload scenarios that policy_bench runs.
 
 #include <vector>
 
@@ -9,10 +9,12 @@
 
 namespace amaranth::bench {
 
-/// Chains 3 and 6 deep, and the sizes of both firms.
+/// Returns chains of 3 and 6 services, and topologies of the size of the two
+/// users' deployments, arrieta and wrekin.
 std::vector<Topology> Topologies();
 
-/// Surges, a slow deep service, clients that retry hard, and all at once.
+/// Returns load surges, a slow deepest service, clients that resend at once
+/// after each failure, and a combination of these.
 std::vector<Scenario> Scenarios();
 
 }  // namespace amaranth::bench
--- a/src/bench/policy_run.cc
+++ b/src/bench/policy_run.cc
@@ -14,12 +14,14 @@
 using pvt::FakeAnswer;
 using pvt::FakeFleet;
 
-// Load before and after the trigger, in parts of the capacity.
-constexpr double kUsualLoad = 0.7;
+// Load before and after the trigger, as a share of the capacity.
+constexpr double kNormalLoad = 0.7;
 constexpr Duration kDeadline = std::chrono::seconds(1);
-// Membership spreads, settings are in force, slow start is over.
-constexpr Duration kSettle = std::chrono::seconds(8);
-// Back is a window of this many bins with this part of the share before.
+// Time for membership to spread, settings to be in force everywhere and slow
+// start to end.
+constexpr Duration kSettleTime = std::chrono::seconds(8);
+// Goodput has recovered once, over this many consecutive bins, the share of
+// good requests is at least kRecoveredShare of that before the trigger.
 constexpr size_t kRecoveryBins = 5;
 constexpr double kRecoveredShare = 0.95;
 
@@ -28,24 +30,24 @@
   Tier tier;
   double share;
 };
-constexpr RequestClass kClasses[] = {
+constexpr RequestClass kRequestClasses[] = {
     {"browse", Tier::kBrowse, 0.5},
     {"standard", Tier::kStandard, 0.3},
     {"renewal", Tier::kCritical, 0.2},
 };
 
-// A whole request, over all the times its client sends it.
+// A request of a client, including all its resends.
 struct Request {
   TimePoint at{};
-  size_t kind = 0;  // index into kClasses
+  size_t class_index = 0;  // index into kRequestClasses
   int resends_left = 0;
-  bool settled = false;
+  bool finished = false;
   bool good = false;
   uint32_t runs = 0;
   uint32_t deepest_runs = 0;
 };
 
-std::vector<std::pair<std::string, std::string>> SettingsOf(Policy policy) {
+std::vector<std::pair<std::string, std::string>> SettingsFor(Policy policy) {
   switch (policy) {
     case Policy::kNone:
       return {{"concurrency", "fixed"},     {"fixed_limit", "100000"},
@@ -75,18 +77,18 @@
         options_(options),
         fleet_(options.seed) {}
 
-  RunResult Play() {
-    Build();
-    Configure();
+  RunResult Execute() {
+    AddNodes();
+    ApplySettings();
     AddServers();
-    fleet_.RunFor(kSettle);
+    fleet_.RunFor(kSettleTime);
     fleet_.ForgetHistory();
     fleet_.on_answer = [this](uint64_t call, const FakeAnswer& answer) {
       OnAnswer(call, answer);
     };
     fleet_.on_run = [this](const Effected& run) { OnRun(run); };
     start_ = fleet_.now();
-    load_ = kUsualLoad;
+    load_ = kNormalLoad;
     ScheduleArrival();
     fleet_.RunFor(options_.before);
     SetTriggered(true);
@@ -99,23 +101,24 @@
   }
 
  private:
-  void Build() {
+  void AddNodes() {
     for (const Topology::Host& host : topology_.hosts) {
       fleet_.AddNode(host.name, host.data_centre, true);
     }
     fleet_.RunFor(std::chrono::seconds(3));
   }
 
-  void Configure() {
+  void ApplySettings() {
     nlohmann::json changes = nlohmann::json::array();
-    for (const auto& [name, value] : SettingsOf(policy_)) {
+    for (const auto& [name, value] : SettingsFor(policy_)) {
       changes.push_back({{"path", ""}, {"name", name}, {"value", value}});
     }
     if (policy_ == Policy::kAmaranth || policy_ == Policy::kSlots) {
-      for (const RequestClass& kind : kClasses) {
-        changes.push_back({{"path", "default/*/" + std::string(kind.name)},
-                           {"name", "tier"},
-                           {"value", std::string(ToString(kind.tier))}});
+      for (const RequestClass& request_class : kRequestClasses) {
+        changes.push_back(
+            {{"path", "default/*/" + std::string(request_class.name)},
+             {"name", "tier"},
+             {"value", std::string(ToString(request_class.tier))}});
       }
     }
     HttpRequest request;
@@ -125,7 +128,7 @@
     const HttpResponse response =
         fleet_.Operator(topology_.hosts.front().name, std::move(request));
     if (response.status != 200) {
-      throw std::runtime_error("settings refused: " +
+      throw std::runtime_error("settings change was refused: " +
                                std::string(response.body.view()));
     }
     fleet_.RunFor(std::chrono::seconds(5));
@@ -150,7 +153,7 @@
   }
 
   void SetTriggered(bool triggered) {
-    load_ = triggered ? scenario_.load : kUsualLoad;
+    load_ = triggered ? scenario_.load : kNormalLoad;
     const Topology::Service& deepest = topology_.chain.back();
     const double factor = triggered ? scenario_.slowdown : 1;
     const Duration time(static_cast<int64_t>(
@@ -163,22 +166,22 @@
   void ScheduleArrival() {
     if (load_ <= 0) return;
     std::exponential_distribution<double> gap(load_ * topology_.Capacity());
-    const Duration pause(static_cast<int64_t>(1e6 * gap(random_)));
-    fleet_.At(pause, [this] {
+    const Duration gap_time(static_cast<int64_t>(1e6 * gap(random_)));
+    fleet_.At(gap_time, [this] {
       if (load_ <= 0) return;
-      Arrive();
+      AddRequest();
       ScheduleArrival();
     });
   }
 
-  void Arrive() {
+  void AddRequest() {
     Request request;
     request.at = fleet_.now();
     double draw = std::uniform_real_distribution<double>(0, 1)(random_);
-    while (draw >= kClasses[request.kind].share &&
-           request.kind + 1 < std::size(kClasses)) {
-      draw -= kClasses[request.kind].share;
-      ++request.kind;
+    while (draw >= kRequestClasses[request.class_index].share &&
+           request.class_index + 1 < std::size(kRequestClasses)) {
+      draw -= kRequestClasses[request.class_index].share;
+      ++request.class_index;
     }
     request.resends_left = scenario_.hard_resends;
     requests_.push_back(request);
@@ -186,32 +189,32 @@
   }
 
   void Send(size_t id) {
-    ++sends_;
-    HttpRequest http =
-        pvt::MakeRequest("GET", topology_.chain.front().name,
-                         kClasses[requests_[id].kind].name, std::to_string(id));
+    ++send_count_;
+    HttpRequest http = pvt::MakeRequest(
+        "GET", topology_.chain.front().name,
+        kRequestClasses[requests_[id].class_index].name, std::to_string(id));
     http.target = "/" + std::to_string(id);
     http.headers.push_back(
         {"X-Amaranth-Deadline-Ms", std::to_string(ToMillis(kDeadline))});
     std::uniform_int_distribution<size_t> host(0, topology_.hosts.size() - 1);
     const std::string& node = topology_.hosts[host(random_)].name;
-    sent_[fleet_.Call(node, std::move(http))] = id;
+    request_by_call_[fleet_.Call(node, std::move(http))] = id;
   }
 
   void OnAnswer(uint64_t call, const FakeAnswer& answer) {
-    const auto found = sent_.find(call);
-    if (found == sent_.end()) return;
+    const auto found = request_by_call_.find(call);
+    if (found == request_by_call_.end()) return;
     const size_t id = found->second;
-    sent_.erase(found);
+    request_by_call_.erase(found);
     Request& request = requests_[id];
     const bool in_time = answer.at - answer.asked <= kDeadline;
     if (answer.response.status == 200 && in_time) {
       request.good = true;
-      request.settled = true;
+      request.finished = true;
       return;
     }
     if (request.resends_left == 0) {
-      request.settled = true;
+      request.finished = true;
       return;
     }
     --request.resends_left;
@@ -219,7 +222,8 @@
   }
 
   void OnRun(const Effected& run) {
-    // Up to the first dot: nested calls without context add their own number.
+    // stoul() parses up to the first dot: nested calls without context append
+    // their own number to the request id.
     Request& request = requests_.at(std::stoul(run.request_id));
     ++request.runs;
     if (run.service == topology_.chain.back().name) ++request.deepest_runs;
@@ -231,21 +235,22 @@
     uint64_t deepest_runs = 0;
     const TimePoint begin = start_ + options_.before;
     const TimePoint end = begin + options_.trigger;
-    const Duration whole = options_.before + options_.trigger + options_.after;
-    result.bins.resize(static_cast<size_t>(whole / kBin));
+    const Duration run_length =
+        options_.before + options_.trigger + options_.after;
+    result.bins.resize(static_cast<size_t>(run_length / kBinLength));
     for (const Request& request : requests_) {
       result.runs += request.runs;
       if (!request.good) result.wasted_runs += request.runs;
       deepest_runs += request.deepest_runs;
       if (request.deepest_runs > 0) ++deepest_requests;
       const size_t bin =
-          std::min(static_cast<size_t>((request.at - start_) / kBin),
+          std::min(static_cast<size_t>((request.at - start_) / kBinLength),
                    result.bins.size() - 1);
       ++result.bins[bin].offered;
       if (request.good) ++result.bins[bin].good;
       if (request.at < begin || request.at >= end) continue;
-      TierResult& tier =
-          result.tiers[static_cast<size_t>(kClasses[request.kind].tier)];
+      TierResult& tier = result.tiers[static_cast<size_t>(
+          kRequestClasses[request.class_index].tier)];
       ++tier.offered;
       if (request.good) ++tier.good;
     }
@@ -253,25 +258,25 @@
         deepest_requests == 0
             ? 0
             : static_cast<double>(deepest_runs) / deepest_requests;
-    result.resends = static_cast<double>(sends_) / requests_.size() - 1;
-    Allow(result);
-    result.recovery = RecoveryOf(result.bins);
+    result.resends = static_cast<double>(send_count_) / requests_.size() - 1;
+    ComputeAllowed(result);
+    result.recovery = RecoverySeconds(result.bins);
     return result;
   }
 
-  void Allow(RunResult& result) const {
+  void ComputeAllowed(RunResult& result) const {
     const double seconds =
         std::chrono::duration<double>(options_.trigger).count();
-    double left = seconds * topology_.Capacity() / scenario_.slowdown;
+    double remaining = seconds * topology_.Capacity() / scenario_.slowdown;
     for (auto tier = result.tiers.rbegin(); tier != result.tiers.rend();
          ++tier) {
-      tier->allowed = std::min(left, static_cast<double>(tier->offered));
-      left -= tier->allowed;
+      tier->allowed = std::min(remaining, static_cast<double>(tier->offered));
+      remaining -= tier->allowed;
     }
   }
 
-  static double ShareOf(const std::vector<RunResult::Bin>& bins, size_t from,
-                        size_t to) {
+  static double GoodShare(const std::vector<RunResult::Bin>& bins, size_t from,
+                          size_t to) {
     uint64_t offered = 0;
     uint64_t good = 0;
     for (size_t bin = from; bin < to; ++bin) {
@@ -281,14 +286,14 @@
     return offered == 0 ? 0 : static_cast<double>(good) / offered;
   }
 
-  double RecoveryOf(const std::vector<RunResult::Bin>& bins) const {
-    const size_t trigger = static_cast<size_t>(options_.before / kBin);
+  double RecoverySeconds(const std::vector<RunResult::Bin>& bins) const {
+    const size_t trigger = static_cast<size_t>(options_.before / kBinLength);
     const size_t end =
-        static_cast<size_t>((options_.before + options_.trigger) / kBin);
-    const double wanted = kRecoveredShare * ShareOf(bins, 0, trigger);
+        static_cast<size_t>((options_.before + options_.trigger) / kBinLength);
+    const double required_share = kRecoveredShare * GoodShare(bins, 0, trigger);
     for (size_t bin = end; bin + kRecoveryBins <= bins.size(); ++bin) {
-      if (ShareOf(bins, bin, bin + kRecoveryBins) < wanted) continue;
-      return std::chrono::duration<double>(kBin * (bin - end)).count();
+      if (GoodShare(bins, bin, bin + kRecoveryBins) < required_share) continue;
+      return std::chrono::duration<double>(kBinLength * (bin - end)).count();
     }
     return -1;
   }
@@ -298,13 +303,16 @@
   Policy policy_;
   RunOptions options_;
   FakeFleet fleet_;
-  // Its own, so that all policies are given the same load.
+  // Separate from the fleet's generator, so that all policies get the same
+  // arrivals. A resend also draws its node from here, so in scenarios with
+  // resends the arrivals differ between policies.
   std::mt19937_64 random_{20261202};
   TimePoint start_{};
   double load_ = 0;
-  uint64_t sends_ = 0;
+  uint64_t send_count_ = 0;
   std::vector<Request> requests_;
-  std::unordered_map<uint64_t, size_t> sent_;  // request by call
+  // Index into requests_, by call id.
+  std::unordered_map<uint64_t, size_t> request_by_call_;
 };
 
 }  // namespace
@@ -336,10 +344,10 @@
   const std::chrono::steady_clock::time_point begin =
       std::chrono::steady_clock::now();
   PolicyRun run(topology, scenario, policy, options);
-  RunResult result = run.Play();
-  const std::chrono::duration<double> taken =
+  RunResult result = run.Execute();
+  const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - begin;
-  result.real_seconds = taken.count();
+  result.real_seconds = elapsed.count();
   return result;
 }
 
--- a/src/bench/policy_run.h
+++ b/src/bench/policy_run.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_BENCH_POLICY_RUN_H_
 #define AMARANTHROUTE_BENCH_POLICY_RUN_H_
 
-// One run of the policy bench: real reducers and fake backend servers in
-// virtual time, a load with a trigger in its middle, and what callers got.
+// One run of policy_bench: real reducers and fake backend servers in virtual
+// time, under a load with an overload trigger in its middle.
 
 #include <array>
 #include <cstdint>
@@ -14,19 +14,21 @@
 
 namespace amaranth::bench {
 
-/// The control that the nodes apply; all by settings alone.
+/// The overload control that the nodes apply. The policies differ in their
+/// settings; kNone also changes the fake backend servers.
 enum class Policy {
-  /// No limit, no shedding, no tiers; servers never cancel, and each nested
-  /// call has its own deadline and retries.
+  /// No concurrency limit, shedding or tiers; backend servers ignore
+  /// cancellation, and each nested call has its own deadline and retries.
   kNone,
-  kFixedLimit,  ///< the announced slots and a plain queue
-  kSlots,       ///< as kAmaranth, with the announced slots as the limit
-  kAmaranth,    ///< the defaults, with tiers
+  kFixedLimit,  ///< the announced slots as limit, and a plain queue
+  kSlots,       ///< as kAmaranth, with the announced slots as limit
+  kAmaranth,    ///< the default settings, with tiers
 };
 
 const char* ToString(Policy policy);
 
-/// Hosts with their backend servers, and the chain that each request takes.
+/// Hosts with their backend servers, and the chain of services that each
+/// request calls.
 struct Topology {
   struct Service {
     std::string name;
@@ -40,18 +42,18 @@
 
   std::string name;
   std::vector<Host> hosts;
-  std::vector<Service> chain;  ///< from the entry to the deepest
+  std::vector<Service> chain;  ///< from the first service to the deepest
 
-  /// Whole requests per second that the deepest service can serve.
+  /// Returns the requests per second that the deepest service can serve.
   double Capacity() const;
 };
 
-/// What goes wrong between the trigger's start and end.
+/// The overload between the start and the end of the trigger.
 struct Scenario {
   std::string name;
-  double load = 0;       ///< while triggered, in parts of the usual capacity
-  double slowdown = 1;   ///< of the deepest service, while triggered
-  int hard_resends = 0;  ///< at once after each failure, all through the run
+  double load = 0;       ///< during the trigger, as a share of the capacity
+  double slowdown = 1;   ///< factor on the deepest service time, in the trigger
+  int hard_resends = 0;  ///< per request, at once after a failure; whole run
 };
 
 struct RunOptions {
@@ -61,30 +63,30 @@
   uint64_t seed = 1;
 };
 
-/// Counts for one tier, of the requests that came while triggered.
+/// Counts for one tier, over the requests that arrived during the trigger.
 struct TierResult {
   uint64_t offered = 0;
-  uint64_t good = 0;   ///< answered 200 within the deadline
-  double allowed = 0;  ///< what the capacity allows, higher tiers first
+  uint64_t good = 0;   ///< answered with 200 within the deadline
+  double allowed = 0;  ///< requests within the capacity, higher tiers first
 };
 
 struct RunResult {
   std::array<TierResult, kTierCount> tiers;
-  uint64_t runs = 0;         ///< at all servers, in the whole run
-  uint64_t wasted_runs = 0;  ///< of requests that failed
+  uint64_t runs = 0;         ///< at all backend servers, over the whole run
+  uint64_t wasted_runs = 0;  ///< runs for requests that failed
   double amplification = 0;  ///< runs per request run, at the deepest service
-  double resends = 0;        ///< by clients, per request
-  double recovery = -1;      ///< seconds from the trigger's end; -1 never
+  double resends = 0;        ///< by the clients, per request
+  double recovery = -1;      ///< seconds after the trigger ended; -1 for never
   double real_seconds = 0;
   struct Bin {
     uint64_t offered = 0;
     uint64_t good = 0;
   };
-  std::vector<Bin> bins;  ///< of kBin, by arrival
+  std::vector<Bin> bins;  ///< of kBinLength, by time of arrival
 };
 
-/// Length of a bin of RunResult::bins.
-inline constexpr Duration kBin = std::chrono::milliseconds(100);
+/// Length of one bin of RunResult::bins.
+inline constexpr Duration kBinLength = std::chrono::milliseconds(100);
 
 RunResult Run(const Topology& topology, const Scenario& scenario, Policy policy,
               const RunOptions& options);
