--- a/src/cmake/AmaranthTargets.cmake
+++ b/src/cmake/AmaranthTargets.cmake
@@ -1,5 +1,5 @@
-# amaranth_library(NAME SOURCES ... [LIBS ...]): a static library of the
-# workspace with the public include folder and our warnings.
+# amaranth_library(NAME SOURCES ... [LIBS ...]): adds a static library with the
+# public include folder and the project's warning options.
 function(amaranth_library name)
   cmake_parse_arguments(ARG "" "" "SOURCES;LIBS" ${ARGN})
   add_library(${name} STATIC ${ARG_SOURCES})
@@ -8,7 +8,7 @@
   target_link_libraries(${name} PUBLIC ${ARG_LIBS} PRIVATE amaranth_warnings)
 endfunction()
 
-# amaranth_program(NAME SOURCES ... [LIBS ...]): an executable.
+# amaranth_program(NAME SOURCES ... [LIBS ...]): adds an executable.
 function(amaranth_program name)
   cmake_parse_arguments(ARG "" "" "SOURCES;LIBS" ${ARGN})
   add_executable(${name} ${ARG_SOURCES})
@@ -17,9 +17,9 @@
   target_link_libraries(${name} PRIVATE ${ARG_LIBS} amaranth_warnings)
 endfunction()
 
-# amaranth_unit_test(NAME SOURCES ... [LIBS ...]): the one test program of a
-# library; src/libutil/test_main.cc gives it main(). rapidcheck's seed is fixed
-# so that CI gives the same verdict every time.
+# amaranth_unit_test(NAME SOURCES ... [LIBS ...]): adds the test program of a
+# library, with main() from src/libutil/test_main.cc. The rapidcheck seed is
+# fixed, so that CI gives the same result every time.
 function(amaranth_unit_test name)
   if(NOT AMARANTH_TESTS)
     return()
--- a/src/cmake/Libraries.cmake
+++ b/src/cmake/Libraries.cmake
@@ -1,4 +1,4 @@
-# Debian's libraries that the workspace uses; see INSTALL.md for the packages.
+# Libraries from Debian packages; INSTALL.md lists the packages.
 find_package(Threads REQUIRED)
 find_package(CURL REQUIRED)
 find_package(OpenSSL REQUIRED)
--- a/src/cmake/Warnings.cmake
+++ b/src/cmake/Warnings.cmake
@@ -1,6 +1,6 @@
-# Warnings are errors in our own check, and only there: a compiler that we have
-# not met must not fail a user's build. Generated code is exempt (see
-# amaranth_generated_sources in AmaranthTargets.cmake).
+# Warnings are errors only with AMARANTH_WERROR, so that the warnings of an
+# untested compiler do not fail a user's build. Generated code is exempt: it
+# does not link amaranth_warnings.
 add_library(amaranth_warnings INTERFACE)
 target_compile_options(
   amaranth_warnings INTERFACE -Wall -Wextra -Wpedantic -Wshadow
--- a/src/cmake/check.sh
+++ b/src/cmake/check.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The README's test command: format, build, lint, tests. Same verdict each run.
+# The test command of the README: checks format and include layers, builds,
+# lints and runs the tests. The result is the same on every run.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 
@@ -21,7 +22,7 @@
 echo "== tests"
 excluded=""
 if [ -s KNOWN-RED.txt ]; then
-  echo "known red, passed over:"
+  echo "excluded by KNOWN-RED.txt:"
   cat KNOWN-RED.txt
   excluded=$(cut -d: -f1 KNOWN-RED.txt | paste -sd'|')
 fi
--- a/src/cmake/check_layers.sh
+++ b/src/cmake/check_layers.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The parts of the reducer may include only what stands before them in this
-# order, so that a reader knows from the folder what a line can touch.
+# Checks the include order of the reducer's parts: a part may include only
+# itself and the parts listed before it, so that its folder limits what its code
+# can depend on. Tests are exempt.
 set -euo pipefail
 cd "$(dirname "$0")/../libnode"
 
@@ -9,14 +10,15 @@
 status=0
 for part in "${parts[@]}"; do
   allowed="$allowed|$part"
-  # membership and settings stand side by side.
+  # membership and settings must not include each other: the order excludes one
+  # direction, the second check the other.
   wrong=$(grep -n '#include "libnode/' "$part"/*.h "$part"/*.cc |
     grep -v '_test\.cc:' |
     grep -Ev "\"libnode/(${allowed#|})/" || true)
   [ "$part" = settings ] &&
     wrong+=$(grep -n '"libnode/membership/' settings/*.h settings/*.cc || true)
   if [ -n "$wrong" ]; then
-    echo "libnode/$part includes what stands after it:"
+    echo "libnode/$part includes a part that it must not depend on:"
     echo "$wrong"
     status=1
   fi
--- a/src/cmake/generate_thrift.sh
+++ b/src/cmake/generate_thrift.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Regenerates src/libwire/gen-cpp after a change of the IDL; the result is
+# Regenerates src/libwire/gen-cpp after a change to the IDL. The result is
 # committed, so that a build needs no Thrift compiler.
 set -euo pipefail
 cd "$(dirname "$0")/../libwire"
--- a/src/cmake/install_packages.sh
+++ b/src/cmake/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs Debian's packages that amaranthroute builds with; needs root.
+# Installs the Debian packages that amaranthroute needs to build; needs root.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache clang clang-format clang-tidy libclang-rt-14-dev
--- a/src/cmake/lint.sh
+++ b/src/cmake/lint.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# clang-tidy over the given files' translation units. A file that was clean is
-# not checked again until it, one of the project's headers that it includes, or
-# the configuration changes: the stamp is a hash over all of these, so a stale
-# pass cannot hide a finding.
+# Runs clang-tidy on the given .cc files. A file without findings is not checked
+# again until it, a project header that it includes, or the configuration
+# changes: its cache entry is named by a hash over all of these, so a stale entry
+# cannot hide a finding.
 set -euo pipefail
 cache="${AMARANTH_LINT_CACHE:-${XDG_CACHE_HOME:-$HOME/.cache}/amaranth-lint}"
 mkdir -p "$cache"
@@ -15,7 +15,7 @@
     g++ -std=c++17 -MM -I. -Isrc/include -Isrc "$file" | tr -d '\\\n' |
       cut -d: -f2 | xargs cat; } | sha256sum | cut -d' ' -f1)
   [ -e "$cache/$stamp" ] && return 0
-  # The build is g++'s; clang need not know each of its warnings.
+  # The compile commands are for g++; clang does not know all of its warnings.
   clang-tidy --quiet -p build --extra-arg=-Wno-unknown-warning-option "$file" \
     2>/dev/null || {
     echo "lint: $file" >&2
--- a/src/cmake/setup.sh
+++ b/src/cmake/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The README's set-up command: installs Debian's packages (needs root) and
-# builds everything into build/.
+# The set-up command of the README: installs the Debian packages (needs root)
+# and builds everything into build/.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 bash src/cmake/install_packages.sh
--- a/src/fuzz/fuzz_caller_headers.cc
+++ b/src/fuzz/fuzz_caller_headers.cc
@@ -17,8 +17,9 @@
 using amaranth::pvt::Require;
 using amaranth::pvt::Ticket;
 
-// One field a line, "name:value"; anything else is a name with no value.
-HttpRequest ReadRequest(std::string_view text) {
+// Reads one header field per line, as "name:value". A line without a colon is a
+// name with an empty value.
+HttpRequest ParseRequest(std::string_view text) {
   HttpRequest request;
   while (!text.empty()) {
     const std::string_view line = text.substr(0, text.find('\n'));
@@ -31,57 +32,63 @@
   return request;
 }
 
-void RequireClean(const std::string& text) {
-  Require(text.size() <= amaranth::pvt::kMaxHeaderValue, "values are short");
+void RequireSafeValue(const std::string& text) {
+  Require(text.size() <= amaranth::pvt::kMaxHeaderValue,
+          "header value is within the length limit");
   for (const char c : text) {
-    Require(c > ' ' && c < '\x7f' && c != '"', "values are printable");
+    Require(c > ' ' && c < '\x7f' && c != '"',
+            "header value has only printable characters, no space or quote");
   }
 }
 
-// Whatever is read as a token or ticket names the same after a round trip.
-void RequireRoundTrips(const std::string& text) {
+// Checks that a context token or ticket that parses is equal after formatting
+// and parsing again.
+void RequireRoundTrip(const std::string& text) {
   const std::optional<ContextToken> token =
       amaranth::pvt::ParseContextToken(text);
   if (token) {
-    const std::optional<ContextToken> again = amaranth::pvt::ParseContextToken(
-        amaranth::pvt::FormatContextToken(*token));
-    Require(again && again->hop == token->hop && again->nonce == token->nonce,
-            "a context token comes back equal");
+    const std::optional<ContextToken> reparsed =
+        amaranth::pvt::ParseContextToken(
+            amaranth::pvt::FormatContextToken(*token));
+    Require(reparsed && reparsed->hop == token->hop &&
+                reparsed->nonce == token->nonce,
+            "context token is equal after a round trip");
   }
   const std::optional<Ticket> ticket = amaranth::pvt::ParseTicket(text);
   if (ticket) {
-    const std::optional<Ticket> again =
+    const std::optional<Ticket> reparsed =
         amaranth::pvt::ParseTicket(amaranth::pvt::FormatTicket(*ticket));
-    Require(again && again->home == ticket->home &&
-                again->incarnation == ticket->incarnation &&
-                again->sequence == ticket->sequence,
-            "a ticket comes back equal");
+    Require(reparsed && reparsed->home == ticket->home &&
+                reparsed->incarnation == ticket->incarnation &&
+                reparsed->sequence == ticket->sequence,
+            "ticket is equal after a round trip");
   }
 }
 
-void RequireFramingGone(HttpRequest request) {
+void RequireFramingHeadersRemoved(HttpRequest request) {
   amaranth::pvt::RemoveFramingHeaders(request.headers);
   for (const Header& header : request.headers) {
     Require(!amaranth::pvt::IsFramingHeader(header.name),
-            "no framing field is passed on");
+            "framing headers are removed");
   }
 }
 
 }  // namespace
 
-// Header fields from callers and backend servers: refused with a sentence, or
-// read into values that are safe in logs, labels and settings paths.
+// Header fields from callers and backend servers are either rejected with an
+// error message, or parsed into values that are safe in logs, metric labels and
+// settings paths.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const HttpRequest request =
-      ReadRequest(std::string_view(reinterpret_cast<const char*>(data), size));
+      ParseRequest(std::string_view(reinterpret_cast<const char*>(data), size));
   for (const Header& header : request.headers) {
-    RequireRoundTrips(header.value);
+    RequireRoundTrip(header.value);
   }
-  RequireFramingGone(request);
+  RequireFramingHeadersRemoved(request);
   const Outcome<CallerHeaders> headers =
       amaranth::pvt::ParseCallerHeaders(request);
   if (!headers) {
-    Require(!headers.error().message.empty(), "an error says what is wrong");
+    Require(!headers.error().message.empty(), "error has a message");
     return 0;
   }
   for (const std::string* text :
@@ -89,8 +96,8 @@
         &headers.value().tenant, &headers.value().caller,
         &headers.value().request_id, &headers.value().idempotency_key,
         &headers.value().context_token}) {
-    RequireClean(*text);
+    RequireSafeValue(*text);
   }
-  Require(!headers.value().service.empty(), "there is a service");
+  Require(!headers.value().service.empty(), "service is not empty");
   return 0;
 }
--- a/src/fuzz/fuzz_frames.cc
+++ b/src/fuzz/fuzz_frames.cc
@@ -15,7 +15,8 @@
 
 constexpr size_t kMaxPayload = 1024;
 
-// Takes whole frames out; false once the reader refuses the stream.
+// Takes all complete frames out of the reader and appends them to `returned`.
+// Returns false if the reader rejects the stream.
 bool TakeFrames(FrameReader& reader, std::string& returned) {
   while (true) {
     const Outcome<std::optional<std::string>> payload = reader.Next();
@@ -25,7 +26,8 @@
     if (!payload.value()) {
       return true;
     }
-    Require(payload.value()->size() <= kMaxPayload, "payload within limit");
+    Require(payload.value()->size() <= kMaxPayload,
+            "payload is within the size limit");
     returned += Frame(*payload.value());
     static_cast<void>(amaranth::DecodePeerMessage(*payload.value()));
   }
@@ -33,27 +35,28 @@
 
 }  // namespace
 
-// A hostile stream, cut into pieces of the length that its first byte says. The
-// frames returned are the stream's beginning, and nothing is held beyond it.
+// An untrusted stream, fed in pieces of one byte more than the value of the
+// first input byte. The frames returned must be a prefix of the stream, and the
+// reader must buffer exactly the remainder.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   if (size == 0) {
     return 0;
   }
-  const size_t piece = data[0] + size_t{1};
+  const size_t piece_size = data[0] + size_t{1};
   const std::string_view stream(reinterpret_cast<const char*>(data) + 1,
                                 size - 1);
   FrameReader reader(kMaxPayload);
   std::string returned;
-  for (size_t at = 0; at < stream.size(); at += piece) {
-    reader.Append(stream.substr(at, piece));
+  for (size_t at = 0; at < stream.size(); at += piece_size) {
+    reader.Append(stream.substr(at, piece_size));
     if (!TakeFrames(reader, returned)) {
-      Require(!reader.Next(), "a refused stream stays refused");
+      Require(!reader.Next(), "rejected stream stays rejected");
       return 0;
     }
   }
   Require(returned + std::string(stream.substr(returned.size())) == stream,
-          "frames are the stream's beginning");
+          "frames are a prefix of the stream");
   Require(reader.buffered() == stream.size() - returned.size(),
-          "the rest is held");
+          "remainder is buffered");
   return 0;
 }
--- a/src/fuzz/fuzz_peer_message.cc
+++ b/src/fuzz/fuzz_peer_message.cc
@@ -4,22 +4,23 @@
 #include "amaranthroute/wire.h"
 #include "fuzz/require.h"
 
-// Whatever a peer sends as a message: it is refused, or it is a message that we
-// could send ourselves and that comes back equal.
+// An untrusted peer message is either rejected with an error message, or
+// decodes to a message that this node may send itself and that is equal after a
+// round trip.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using amaranth::pvt::Require;
   const std::string_view payload(reinterpret_cast<const char*>(data), size);
   const amaranth::Outcome<amaranth::PeerMessage> message =
       amaranth::DecodePeerMessage(payload);
   if (!message) {
-    Require(!message.error().message.empty(), "an error says what is wrong");
+    Require(!message.error().message.empty(), "error has a message");
     return 0;
   }
   Require(amaranth::CheckPeerMessage(message.value()).has_value(),
-          "what decodes may be sent");
-  const amaranth::Outcome<amaranth::PeerMessage> again =
+          "decoded message may be sent");
+  const amaranth::Outcome<amaranth::PeerMessage> decoded_again =
       amaranth::DecodePeerMessage(amaranth::EncodePeerMessage(message.value()));
-  Require(again && again.value() == message.value(),
-          "what decodes comes back equal");
+  Require(decoded_again && decoded_again.value() == message.value(),
+          "message is equal after a round trip");
   return 0;
 }
--- a/src/fuzz/fuzz_settings.cc
+++ b/src/fuzz/fuzz_settings.cc
@@ -4,8 +4,9 @@
 #include "amaranthroute/settings.h"
 #include "fuzz/require.h"
 
-// Snapshots come from peers and the object store, changes from operators: they
-// are refused, or are trees that keep their text, and resolving never fails.
+// Snapshots come from peers and the object store, changes from operators. They
+// are either rejected, or parse to a settings tree that is equal after a round
+// trip through text. Validate() and Resolve() must not crash on it.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using amaranth::pvt::Require;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
@@ -22,9 +23,10 @@
   if (tree) {
     static_cast<void>(tree.value().Validate());
     static_cast<void>(tree.value().Resolve("m", "s", "c"));
-    const amaranth::Outcome<amaranth::SettingsTree> again =
+    const amaranth::Outcome<amaranth::SettingsTree> reparsed =
         amaranth::ParseSettings(amaranth::ToText(tree.value()));
-    Require(again && again.value() == tree.value(), "a tree keeps its text");
+    Require(reparsed && reparsed.value() == tree.value(),
+            "settings tree is equal after a round trip");
   }
   return 0;
 }
--- a/src/fuzz/require.h
+++ b/src/fuzz/require.h
@@ -6,10 +6,10 @@
 
 namespace amaranth::pvt {
 
-// Ends the fuzzer, which then keeps the input, if what must hold does not.
-inline void Require(bool holds, const char* what) {
-  if (!holds) {
-    std::fprintf(stderr, "does not hold: %s\n", what);
+// Aborts if `condition` is false; libFuzzer then stores the failing input.
+inline void Require(bool condition, const char* message) {
+  if (!condition) {
+    std::fprintf(stderr, "check failed: %s\n", message);
     std::abort();
   }
 }
--- a/src/fuzz/run_fuzzer.sh
+++ b/src/fuzz/run_fuzzer.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# run_fuzzer.sh FUZZER CORPUS RUNS: a short run that is the same every time. New
-# inputs go to an empty folder beside the fuzzer, so that they neither change
-# the committed corpus nor the next run.
+# run_fuzzer.sh FUZZER CORPUS RUNS: runs a fuzzer briefly and reproducibly. New
+# inputs are stored in an initially empty folder beside the fuzzer, so that they
+# change neither the committed corpus nor the next run.
 set -euo pipefail
 fuzzer=$1 corpus=$2 runs=$3
 found="$fuzzer.found"
--- a/src/fuzz/write_corpus.cc
+++ b/src/fuzz/write_corpus.cc
@@ -1,5 +1,6 @@
 // write_corpus FOLDER: writes the seed corpus of the wire fuzzers, one file for
-// each kind of message. To be run again, and committed, when the IDL changes.
+// each kind of message. Run it again and commit the result when the IDL
+// changes.
 
 #include <filesystem>
 #include <fstream>
@@ -14,11 +15,11 @@
 
 namespace fs = std::filesystem;
 
-HttpRequest SomeRequest() {
+HttpRequest SampleRequest() {
   return {"POST", "/pay?x=1", {{"Content-Type", "text/plain"}}, Body("body")};
 }
 
-MemberRecord SomeMember() {
+MemberRecord SampleMember() {
   MemberRecord member;
   member.node = NodeRef{"n1", 77};
   member.version = 3;
@@ -31,7 +32,7 @@
   return member;
 }
 
-CallForward SomeForward() {
+CallForward SampleForward() {
   CallForward forward;
   forward.attempt = 9;
   forward.server = "s1";
@@ -40,11 +41,11 @@
   forward.context.tier = Tier::kCritical;
   forward.context.remaining = std::chrono::milliseconds(900);
   forward.context.retry_credits = 3;
-  forward.request = SomeRequest();
+  forward.request = SampleRequest();
   return forward;
 }
 
-CallAnswer SomeAnswer() {
+CallAnswer SampleAnswer() {
   CallAnswer answer;
   answer.attempt = 9;
   answer.entry_incarnation = 77;
@@ -55,43 +56,44 @@
   return answer;
 }
 
-MemberSync SomeSync() {
+MemberSync SampleSync() {
   MemberSync sync;
   sync.reply_wanted = true;
   sync.bucket_hashes = {1, 0xffffffffu};
-  sync.members = {SomeMember(), SomeMember()};
+  sync.members = {SampleMember(), SampleMember()};
   sync.quarantines = {{"pay", 5, 2}};
   return sync;
 }
 
-GossipMessage SomeGossip(GossipKind kind) {
+GossipMessage SampleGossip(GossipKind kind) {
   GossipMessage message;
   message.kind = kind;
   message.from = NodeRef{"n1", 77};
   message.from_address = Endpoint{"127.0.0.1", 7002};
   message.sequence = 5;
   message.target = "n2";
-  message.updates = {SomeMember()};
+  message.updates = {SampleMember()};
   message.quarantines = {{"pay", 5, 2}};
   return message;
 }
 
-std::vector<PeerMessage> PeerMessages() {
+std::vector<PeerMessage> SamplePeerMessages() {
   return {Hello{NodeRef{"n1", 77}, "fleet", "dc1"},
-          SomeForward(),
-          SomeAnswer(),
+          SampleForward(),
+          SampleAnswer(),
           CallCancel{9},
-          HomeForward{9, 77, SomeRequest(), std::chrono::milliseconds(5)},
+          HomeForward{9, 77, SampleRequest(), std::chrono::milliseconds(5)},
           LinkPing{1},
           LinkPong{1},
           SettingsRequest{4},
           SettingsSnapshot{5, 6, "{}"},
           ClaimRequest{NodeRef{"n1", 77}, {{1, "key"}}},
           ClaimReply{{{1, true, NodeRef{"n1", 77}, 1}}},
-          SomeSync()};
+          SampleSync()};
 }
 
-void Write(const fs::path& folder, size_t number, const std::string& bytes) {
+void WriteFile(const fs::path& folder, size_t number,
+               const std::string& bytes) {
   fs::create_directories(folder);
   std::ofstream out(folder / std::to_string(number), std::ios::binary);
   out << bytes;
@@ -99,18 +101,18 @@
 
 void WriteCorpus(const fs::path& folder) {
   size_t number = 0;
-  std::string stream(1, '\x07');  // cut into pieces of eight bytes
-  for (const PeerMessage& message : PeerMessages()) {
+  std::string stream(1, '\x07');  // fed in pieces of eight bytes
+  for (const PeerMessage& message : SamplePeerMessages()) {
     const std::string payload = EncodePeerMessage(message);
     stream += Frame(payload);
-    Write(folder / "peer_message", number++, payload);
+    WriteFile(folder / "peer_message", number++, payload);
   }
-  Write(folder / "frames", 0, stream);
-  Write(folder / "frames", 1, stream.substr(0, stream.size() / 2));
+  WriteFile(folder / "frames", 0, stream);
+  WriteFile(folder / "frames", 1, stream.substr(0, stream.size() / 2));
   for (const GossipKind kind :
        {GossipKind::kPing, GossipKind::kAck, GossipKind::kPingRequest}) {
-    Write(folder / "gossip", static_cast<size_t>(kind),
-          EncodeGossip(SomeGossip(kind)));
+    WriteFile(folder / "gossip", static_cast<size_t>(kind),
+              EncodeGossip(SampleGossip(kind)));
   }
 }
 
