--- a/models/claims.pml
+++ b/models/claims.pml
@@ -1,36 +1,40 @@
-/* At most once for one idempotency key (src/libnode/entry_keys.cc,
- * claim_desk.cc, key_registry.cc, src/libplatform/claim_run.cc).
+/* At-most-once execution for one idempotency key (entry_keys.cc,
+ * claim_coordinator.cc and key_registry.cc in src/libnode/entry,
+ * src/libplatform/claim_run.cc).
  *
- * Two entry nodes; a caller that sends the same keyed request to either,
- * without waiting; the platform's insert-if-absent, whose write may take
- * effect late and whose answer may be lost; a backend server that may run or
- * refuse what it is sent, also after its sender is gone. A node may stand still
- * between any two steps (a pause), restart with a new incarnation and no
- * memory, and drop a settled record with age. There is no time in the model: a
- * deadline or a give-up may come at any moment.
+ * The model has two entry nodes; a caller that sends the same keyed request
+ * several times, to either node, without waiting for an answer; the platform's
+ * insert-if-absent, whose write may take effect late and whose answer may be
+ * lost; and a backend server that runs or refuses each attempt, even if the
+ * sender has gone. A node may pause between any two steps, restart with a new
+ * incarnation and no state, and drop an old record that is no longer claiming
+ * or running. The model has no time: a deadline or a timeout may occur at any
+ * moment.
  *
- * Promises:
+ * Checked properties:
  *   - the request runs at most once;
- *   - an asking that was told "not run" is never dispatched, before or after;
- *   - "ran" is told only if it ran;
- *   - with ASSERT_KEY_NEVER_RAN also: "not run" is told only while no earlier
- *     asking with the same key has run.
+ *   - a copy of the request that was answered "not run" is never dispatched,
+ *     before or after;
+ *   - "ran" is answered only if the request ran;
+ *   - with ASSERT_KEY_NEVER_RAN also: "not run" is answered only while no copy
+ *     with the same key has run.
  *
- * With TICKET the key is a ticket of node 0, incarnation 0: no platform.
- * With DOUBT_ON_UNKNOWN a claim that stays unknown is told "may have run".
+ * TICKET: the key is a ticket of node 0, incarnation 0; no platform is used.
+ * DOUBT_ON_UNKNOWN: a claim whose result stays unknown is answered "may have
+ * run" instead of "not run".
  *
- * Mutations, each of which must be caught:
- *   MUTATION_LEASE            a claim lapses while its holder is paused
- *   MUTATION_RUN_ON_UNKNOWN   a node dispatches though the claim is unknown
- *   MUTATION_FORGOTTEN_RUNS   a home without a record runs what is forwarded
+ * Mutations, each of which must violate an assertion:
+ *   MUTATION_LEASE            a claim expires while its holder is paused
+ *   MUTATION_RUN_ON_UNKNOWN   a node dispatches although the claim is unknown
+ *   MUTATION_FORGOTTEN_RUNS   a home without a record runs a forwarded request
  *   MUTATION_NEW_HOME         (TICKET) another node runs for a dead home
  */
-#ifndef ASKS
-#define ASKS 3
+#ifndef COPIES
+#define COPIES 3
 #endif
 #define NODES 2
 #define MAX_CLAIMS 6
-#define RESTARTS 1
+#define MAX_RESTARTS 1
 
 #define NO_RECORD 0
 #define CLAIMING 1
@@ -38,69 +42,70 @@
 #define UNCLAIMED 3
 #define IDLE 4
 #define DONE 5
-#define DOUBT 6
+#define OUTCOME_UNKNOWN 6
 
-#define NOBODY 0 /* claim ids start at 1 */
+#define NO_CLAIM 0 /* claim ids start at 1 */
 #define BIT(a) (1 << (a))
 
 byte runs;
-byte not_run; /* askings that were told so, as bits */
-byte asked;   /* askings sent so far */
+byte not_run; /* bit set of the copies answered "not run" */
+byte sent;    /* copies sent so far */
 
 byte state[NODES];
-byte claim[NODES];   /* of the record; NOBODY until it asks */
-byte waiters[NODES]; /* askings that wait for the record's result, as bits */
+byte claim[NODES];   /* claim id of the record; NO_CLAIM before the first one */
+byte waiters[NODES]; /* bit set of the copies that wait for the result */
 byte incarnation[NODES];
 byte restarts;
 bool ticket_too_old;
 
-byte holder; /* the platform's row */
+byte holder; /* claim id in the platform's row */
 byte claim_node[MAX_CLAIMS];
 byte claim_incarnation[MAX_CLAIMS];
-byte claims = 1;
+byte next_claim = 1;
 
-chan inbox0 = [ASKS] of { byte, bool, byte }; /* asking, forwarded, incarnation */
-chan inbox1 = [ASKS] of { byte, bool, byte };
+/* copy, forwarded, incarnation */
+chan inbox0 = [COPIES] of { byte, bool, byte };
+chan inbox1 = [COPIES] of { byte, bool, byte };
 chan inserts = [4] of { byte };        /* claim id */
 chan reply0 = [4] of { byte, byte };   /* claim id, holder */
 chan reply1 = [4] of { byte, byte };
-chan work = [4] of { byte, byte };     /* node, incarnation */
+chan attempts = [4] of { byte, byte }; /* node, incarnation */
 chan result0 = [4] of { byte, bool };  /* incarnation, ran */
 chan result1 = [4] of { byte, bool };
 
-inline TellNotRun(mask) {
+inline AnswerNotRun(mask) {
   not_run = not_run | (mask);
 #ifdef ASSERT_KEY_NEVER_RAN
   assert((mask) == 0 || runs == 0)
 #endif
 }
 
-/* StartRunning: the only place that dispatches. */
+/* StartRunning() in the code: the only place that dispatches. */
 inline Dispatch(n) {
   assert((waiters[n] & not_run) == 0);
   state[n] = RUNNING;
-  work!n, incarnation[n]
+  attempts!n, incarnation[n]
 }
 
 inline BeginClaim(n) {
   if
-  :: claim[n] == NOBODY ->
-     assert(claims < MAX_CLAIMS);
-     claim[n] = claims;
-     claim_node[claims] = n;
-     claim_incarnation[claims] = incarnation[n];
-     claims++
+  :: claim[n] == NO_CLAIM ->
+     assert(next_claim < MAX_CLAIMS);
+     claim[n] = next_claim;
+     claim_node[next_claim] = n;
+     claim_incarnation[next_claim] = incarnation[n];
+     next_claim++
   :: else
   fi;
   state[n] = CLAIMING;
   if
   :: nfull(inserts) -> inserts!claim[n]
-  :: true /* the message to the delegate is lost */
+  :: true /* the claim is lost on its way to the delegate */
   fi
 }
 
-/* An unreachable home, or a lost forward or answer, is "may have run", which
- * needs no step of its own: nothing is asserted of it. */
+/* An unreachable home and a lost forward or answer are answered "may have run".
+ * This needs no step in the model, as nothing is asserted about it. */
 inline ForwardTo(other, inc, a) {
   if
   :: other == 0 && nfull(inbox0) -> inbox0!a, true, inc
@@ -109,7 +114,7 @@
   fi
 }
 
-inline OnAsking(n, a, forwarded) {
+inline OnRequest(n, a, forwarded) {
   if
   :: state[n] == NO_RECORD ->
 #ifdef TICKET
@@ -120,7 +125,7 @@
 #ifdef MUTATION_NEW_HOME
      :: n == 1 && incarnation[0] > 0 -> waiters[n] = BIT(a); Dispatch(n)
 #endif
-     :: else /* may have run */
+     :: else /* answered "may have run" */
      fi
 #else
      if
@@ -128,7 +133,7 @@
 #ifdef MUTATION_FORGOTTEN_RUNS
         waiters[n] = BIT(a); Dispatch(n)
 #else
-        skip /* the record was dropped with age: may have run */
+        skip /* the record was dropped with age: answered "may have run" */
 #endif
      :: else -> waiters[n] = BIT(a); BeginClaim(n)
      fi
@@ -138,25 +143,26 @@
   :: state[n] == UNCLAIMED -> waiters[n] = BIT(a); BeginClaim(n)
   :: state[n] == IDLE -> waiters[n] = BIT(a); Dispatch(n)
   :: state[n] == DONE -> assert(runs == 1)
-  :: state[n] == DOUBT /* may have run */
+  :: state[n] == OUTCOME_UNKNOWN /* answered "may have run" */
   fi
 }
 
 inline OnClaimKnown(n, c, h) {
   if
-  :: state[n] != CLAIMING || claim[n] != c /* late, or of a life before */
+  :: state[n] != CLAIMING || claim[n] != c /* late, or of an earlier record */
   :: else ->
      if
      :: h == c -> Dispatch(n)
      :: else ->
-        /* Another's: the record goes, the askings are passed on once. A holder
-         * on this very node is an incarnation or record that is gone. */
-        state[n] = NO_RECORD; claim[n] = NOBODY;
+        /* Another claim holds the key: drops the record and forwards the
+         * waiting copies to the holder's node. A holder on this same node
+         * belongs to an earlier incarnation or a dropped record. */
+        state[n] = NO_RECORD; claim[n] = NO_CLAIM;
         if
         :: claim_node[h] != n && waiters[n] != 0 ->
            i = 0;
            do
-           :: i < ASKS ->
+           :: i < COPIES ->
               if
               :: (waiters[n] & BIT(i)) != 0 ->
                  ForwardTo(claim_node[h], claim_incarnation[h], i)
@@ -165,20 +171,20 @@
               i++
            :: else -> break
            od
-        :: else /* may have run */
+        :: else /* answered "may have run" */
         fi;
         waiters[n] = 0
      fi
   fi
 }
 
-/* The claim desk gave up, or the deadline passed while claiming. */
+/* The claim timed out, or the deadline passed while claiming. */
 inline OnClaimUnknown(n) {
 #ifdef MUTATION_RUN_ON_UNKNOWN
   Dispatch(n)
 #else
 #ifndef DOUBT_ON_UNKNOWN
-  TellNotRun(waiters[n]);
+  AnswerNotRun(waiters[n]);
 #endif
   waiters[n] = 0; state[n] = UNCLAIMED
 #endif
@@ -190,7 +196,7 @@
   :: else ->
      if
      :: ran -> state[n] = DONE; assert(runs == 1)
-     :: else -> state[n] = IDLE; TellNotRun(waiters[n])
+     :: else -> state[n] = IDLE; AnswerNotRun(waiters[n])
      fi;
      waiters[n] = 0
   fi
@@ -207,8 +213,8 @@
        :: _pid == 1 -> inbox1?a, flag, inc
        fi;
        if
-       :: flag && inc != incarnation[_pid] /* home gone: may have run */
-       :: else -> OnAsking(_pid, a, flag)
+       :: flag && inc != incarnation[_pid] /* home gone: "may have run" */
+       :: else -> OnRequest(_pid, a, flag)
        fi;
        a = 0; inc = 0; flag = false; i = 0 }
   :: atomic { (_pid == 0 && nempty(reply0)) || (_pid == 1 && nempty(reply1)) ->
@@ -228,17 +234,19 @@
        OnResult(_pid, inc, flag);
        inc = 0; flag = false }
   /* The link to the serving node is lost. */
-  :: atomic { state[_pid] == RUNNING -> state[_pid] = DOUBT; waiters[_pid] = 0 }
-  /* The deadline passes; the call lingers for its late answer. */
+  :: atomic { state[_pid] == RUNNING ->
+       state[_pid] = OUTCOME_UNKNOWN; waiters[_pid] = 0 }
+  /* The deadline passes; the record still accepts the late answer. */
   :: atomic { state[_pid] == RUNNING && waiters[_pid] != 0 ->
        waiters[_pid] = 0 }
-  /* A settled record is dropped with age, a ticket's only once it is refused. */
+  /* A record that is not claiming or running is dropped with age. A record of a
+   * ticket is dropped only once the ticket is too old to be accepted. */
   :: atomic { state[_pid] >= UNCLAIMED ->
        ticket_too_old = true;
-       state[_pid] = NO_RECORD; claim[_pid] = NOBODY }
-  :: atomic { restarts < RESTARTS && asked > 0 ->
+       state[_pid] = NO_RECORD; claim[_pid] = NO_CLAIM }
+  :: atomic { restarts < MAX_RESTARTS && sent > 0 ->
        restarts++; incarnation[_pid]++;
-       state[_pid] = NO_RECORD; claim[_pid] = NOBODY; waiters[_pid] = 0 }
+       state[_pid] = NO_RECORD; claim[_pid] = NO_CLAIM; waiters[_pid] = 0 }
   od
 }
 
@@ -248,17 +256,17 @@
   do
   :: atomic { inserts?c ->
        if
-       :: holder == NOBODY -> holder = c
+       :: holder == NO_CLAIM -> holder = c
        :: else
        fi;
        if
        :: claim_node[c] == 0 && nfull(reply0) -> reply0!c, holder
        :: claim_node[c] == 1 && nfull(reply1) -> reply1!c, holder
-       :: true /* the answer is lost after the write took effect */
+       :: true /* the answer is lost; the write took effect */
        fi;
        c = 0 }
 #ifdef MUTATION_LEASE
-  :: atomic { holder != NOBODY -> holder = NOBODY }
+  :: atomic { holder != NO_CLAIM -> holder = NO_CLAIM }
 #endif
   od
 }
@@ -268,7 +276,7 @@
   bool ran;
 end:
   do
-  :: atomic { work?n, inc ->
+  :: atomic { attempts?n, inc ->
        if
        :: runs++; ran = true; assert(runs <= 1)
        :: ran = false
@@ -284,8 +292,8 @@
 
 active proctype Caller() {
   do
-  :: atomic { asked < ASKS -> inbox0!asked, false, 0; asked++ }
-  :: atomic { asked < ASKS -> inbox1!asked, false, 0; asked++ }
-  :: asked == ASKS -> break
+  :: atomic { sent < COPIES -> inbox0!sent, false, 0; sent++ }
+  :: atomic { sent < COPIES -> inbox1!sent, false, 0; sent++ }
+  :: sent == COPIES -> break
   od
 }
--- a/models/drain.pml
+++ b/models/drain.pml
@@ -1,32 +1,34 @@
-/* Leaving and drain: a serving node stops gracefully while two entry nodes go
- * on sending it non-idempotent requests.
+/* Draining: a serving node stops gracefully while two entry nodes keep sending
+ * it non-idempotent requests.
  *
- * The serving node tells that it leaves; the news reaches each entry node some
- * time later, in any order with requests under way. Requests that come to the
- * leaving node are refused as not run, and it forgets them. Requests that it
- * holds are finished; only then it exits. What is still on the wire when it
- * has exited never reached it; the entry node sees the link end, and cannot
- * tell, so it says "may have run".
+ * The serving node announces that it is draining. The announcement reaches each
+ * entry node at some later time, in any order relative to the requests in
+ * flight. The draining node refuses requests that arrive, as not run, and
+ * keeps no record of them. It exits once the requests that it runs have
+ * finished. A request that is still on the link at the exit never reaches the
+ * node. The entry node sees the link end, cannot know whether the request ran,
+ * and answers "may have run".
  *
- * Promises:
- *   - no request in flight is cut: the node exits with none in its hands;
- *   - nobody sends new work once it knows that the node is leaving;
- *   - a refused straggler truly never ran, and it is the only kind of failure
- *     after which an entry node sends the request elsewhere;
+ * Checked properties:
+ *   - no request in flight is aborted: the node exits with none running;
+ *   - no entry node sends a new request once it knows that the node is
+ *     draining;
+ *   - a request refused by the draining node never ran, and a refusal is the
+ *     only failure after which an entry node sends the request elsewhere;
  *   - so no request runs twice. */
 
 #define ENTRIES 2
 #define REQUESTS 2 /* of each entry node */
 
 /* Requests and answers travel on one link for each entry node. */
-mtype = {request, done, refused, link_lost};
+mtype = {request, completed, refused, link_lost};
 chan to_server[ENTRIES] = [REQUESTS] of {byte};
 chan to_entry[ENTRIES] = [REQUESTS + 1] of {mtype, byte};
 
-bool leaving = false;  /* the serving node has begun to leave */
-bool exited = false;   /* its process has ended */
-bool knows[ENTRIES];   /* the news has reached the entry node */
-byte in_flight = 0;
+bool draining = false;        /* the serving node is draining */
+bool exited = false;          /* the serving node's process has ended */
+bool knows_draining[ENTRIES]; /* the announcement reached the entry node */
+byte in_flight = 0;           /* requests running at the serving node */
 
 byte runs[ENTRIES * REQUESTS]; /* how often each request ran, anywhere */
 
@@ -36,36 +38,44 @@
 #define SEND_ANYWAY false
 #endif
 
-#define ID(entry, r) (entry * REQUESTS + r)
+#define REQUEST_ID(entry, r) (entry * REQUESTS + r)
 
 active proctype server() {
   byte r;
-  byte held[ENTRIES * REQUESTS]; /* 1: running here */
+  byte running[ENTRIES * REQUESTS]; /* 1: running at this node */
   byte id;
 
   do
   :: atomic {
-      nempty(to_server[0]) -> to_server[0] ? r; id = ID(0, r)
+      nempty(to_server[0]) -> to_server[0] ? r; id = REQUEST_ID(0, r)
     }
     goto arrived
   :: atomic {
-      nempty(to_server[1]) -> to_server[1] ? r; id = ID(1, r)
+      nempty(to_server[1]) -> to_server[1] ? r; id = REQUEST_ID(1, r)
     }
     goto arrived
 
   /* a running request ends and is answered */
-  :: d_step { held[0] == 1 -> held[0] = 0; in_flight--; to_entry[0] ! done, 0 }
-  :: d_step { held[1] == 1 -> held[1] = 0; in_flight--; to_entry[0] ! done, 1 }
-  :: d_step { held[2] == 1 -> held[2] = 0; in_flight--; to_entry[1] ! done, 0 }
-  :: d_step { held[3] == 1 -> held[3] = 0; in_flight--; to_entry[1] ! done, 1 }
+  :: d_step {
+      running[0] == 1 -> running[0] = 0; in_flight--; to_entry[0] ! completed, 0
+    }
+  :: d_step {
+      running[1] == 1 -> running[1] = 0; in_flight--; to_entry[0] ! completed, 1
+    }
+  :: d_step {
+      running[2] == 1 -> running[2] = 0; in_flight--; to_entry[1] ! completed, 0
+    }
+  :: d_step {
+      running[3] == 1 -> running[3] = 0; in_flight--; to_entry[1] ! completed, 1
+    }
 
-  :: !leaving -> leaving = true
+  :: !draining -> draining = true
 
-  /* the planned stop ends */
+  /* the node exits */
 #ifdef MUTATION_EXIT_EARLY
-  :: leaving -> break
+  :: draining -> break
 #else
-  :: leaving && in_flight == 0 -> break
+  :: draining && in_flight == 0 -> break
 #endif
 
 arrived:
@@ -73,13 +83,13 @@
     d_step {
       if
 #ifdef MUTATION_ACCEPT_WHILE_LEAVING
-      /* refuses, yet has handed the request to the backend server already */
-      :: leaving -> runs[id]++; to_entry[id / REQUESTS] ! refused, r
+      /* refuses the request after dispatching it to the backend server */
+      :: draining -> runs[id]++; to_entry[id / REQUESTS] ! refused, r
 #else
-      :: leaving -> to_entry[id / REQUESTS] ! refused, r
+      :: draining -> to_entry[id / REQUESTS] ! refused, r
 #endif
       :: else ->
-        held[id] = 1;
+        running[id] = 1;
         in_flight++;
         runs[id]++
       fi
@@ -89,59 +99,61 @@
 
   d_step {
     exited = true;
-    assert(in_flight == 0); /* no request in flight is cut */
-    assert(!held[0] && !held[1] && !held[2] && !held[3])
+    assert(in_flight == 0); /* no request in flight is aborted */
+    assert(!running[0] && !running[1] && !running[2] && !running[3])
   }
 }
 
-/* Gossip: the news of leaving reaches each entry node at some time. */
+/* Gossip: the announcement reaches each entry node at some time. */
 active [ENTRIES] proctype gossip() {
   byte entry = _pid - 1;
-  leaving -> knows[entry] = true
+  draining -> knows_draining[entry] = true
 }
 
 active [ENTRIES] proctype entry_node() {
-  byte me = _pid - 1 - ENTRIES;
+  byte entry_index = _pid - 1 - ENTRIES;
   byte sent = 0;
-  byte ended = 0;
+  byte finished = 0;
   byte r;
   bool waiting[REQUESTS];
-  bool knew;
+  bool knew_draining;
 
   do
   :: sent < REQUESTS ->
     d_step {
-      knew = knows[me];
+      knew_draining = knows_draining[entry_index];
       if
-      :: (!knew || SEND_ANYWAY) && !exited ->
-        to_server[me] ! sent;
+      :: (!knew_draining || SEND_ANYWAY) && !exited ->
+        to_server[entry_index] ! sent;
         waiting[sent] = true
-      :: else -> /* elsewhere, or no link could be made: it never left */
-        runs[ID(me, sent)]++;
-        ended++
+      :: else -> /* sent elsewhere, or no connection: never sent to this node */
+        runs[REQUEST_ID(entry_index, sent)]++;
+        finished++
       fi;
-      assert(!(knew && waiting[sent])); /* no new work once it is known */
+      /* nothing is sent to a node that is known to be draining */
+      assert(!(knew_draining && waiting[sent]));
       sent++
     }
 
-  :: to_entry[me] ? done, r ->
+  :: to_entry[entry_index] ? completed, r ->
     d_step {
       assert(waiting[r]);
       waiting[r] = false;
-      ended++
+      finished++
     }
 
-  :: to_entry[me] ? refused, r ->
+  :: to_entry[entry_index] ? refused, r ->
     d_step {
       assert(waiting[r]);
       waiting[r] = false;
-      assert(runs[ID(me, r)] == 0); /* not run means not run */
-      runs[ID(me, r)]++;            /* so it runs elsewhere */
-      ended++
+      /* a request refused as not run never ran; it then runs elsewhere */
+      assert(runs[REQUEST_ID(entry_index, r)] == 0);
+      runs[REQUEST_ID(entry_index, r)]++;
+      finished++
     }
 
-  /* the link ends: all that waits is in doubt */
-  :: exited && empty(to_entry[me]) && sent > ended ->
+  /* the link ends: the outcome of every waiting request is unknown */
+  :: exited && empty(to_entry[entry_index]) && sent > finished ->
     d_step {
       r = 0;
       do
@@ -149,8 +161,8 @@
         if
         :: waiting[r] ->
           waiting[r] = false;
-          ended++;
-          assert(runs[ID(me, r)] <= 1)
+          finished++;
+          assert(runs[REQUEST_ID(entry_index, r)] <= 1)
         :: else
         fi;
         r++
@@ -159,7 +171,8 @@
       r = 0
     }
 
-  :: ended == REQUESTS -> break
+  :: finished == REQUESTS -> break
   od;
-  assert(runs[ID(me, 0)] <= 1 && runs[ID(me, 1)] <= 1)
+  assert(runs[REQUEST_ID(entry_index, 0)] <= 1 &&
+         runs[REQUEST_ID(entry_index, 1)] <= 1)
 }
--- a/models/ledger.pml
+++ b/models/ledger.pml
@@ -1,24 +1,24 @@
-/* Retry credits over a chain of hops (src/libnode/credit_ledger.h).
+/* Retry credits over a chain of hops (src/libnode/shared/credit_ledger.h).
  *
  * A hop runs at a backend server and makes one nested call to the level below.
- * Any answer may be lost at any time; the hop that sent it goes on below, with
- * the credits it was lent, and its answer is dropped when it comes. A call may
- * be refused unrun, refused by a leaving server (its retry is free, once), or
- * fail; each layer may retry, and a backend server may repeat a nested call
- * that was given up on. Two promises:
+ * Any answer may be lost at any time. The hop whose answer is lost continues
+ * with the credits granted to it, and its late answer is dropped. An attempt
+ * may be refused as not run, refused by a draining server (the first such retry
+ * costs no credit), or fail. Each level may retry, and a backend server may
+ * repeat a nested call that has failed. Checked properties:
  *   - credits held anywhere plus credits spent never exceed CREDITS;
- *   - each level runs at most 1 + credits spent times.
+ *   - each level runs at most 1 + (credits spent) times.
  *
- * The sizes are small because hops whose answer was lost run beside all others:
- * 3 levels with 1 credit, and 1 or 2 levels with 2 or 3, are searched whole.
- * NO_DRAINING leaves the free retries out.
+ * The sizes are small, because hops whose answers were lost run concurrently
+ * with all others. The search is complete for 3 levels with 1 credit, and for 1
+ * or 2 levels with 2 or 3 credits. NO_DRAINING leaves out the free retries.
  *
- * Mutations, each of which must be caught:
- *   MUTATION_INFLATED_RETURN  an answer returns more than was lent, uncapped
- *   MUTATION_REFUND_LOST      a lost answer's credits are given back although
- *                             the hop below may still spend them
+ * Mutations, each of which must violate an assertion:
+ *   MUTATION_INFLATED_RETURN  an answer returns more than was granted, uncapped
+ *   MUTATION_REFUND_LOST      the credits of a lost answer are returned,
+ *                             although the hop below may still spend them
  *   MUTATION_REPEAT_KEEPS_LOAN  a server's repeat of a nested call keeps the
- *                             credits lent to it and returns them as well
+ *                             credits granted to it and returns them as well
  */
 #ifndef DEPTH
 #define DEPTH 3
@@ -28,48 +28,50 @@
 #endif
 #define MAX_HOPS 24
 
-#define NONE 0
+#define NO_ANSWER 0
 #define OK 1
 #define FAILED 2
 #define REFUSED 3
 #define DRAINING 4
 #define LOST 5
 
-byte answer[MAX_HOPS];   /* by hop: how it ended */
-byte returned[MAX_HOPS]; /* by hop: credits that came back with the answer */
+byte answer[MAX_HOPS];   /* by hop: its result */
+byte returned[MAX_HOPS]; /* by hop: credits returned with the answer */
 byte next_hop;
 byte runs[DEPTH + 1];
-byte held; /* credits in all ledgers and answers under way */
+byte held; /* credits in all ledgers and in answers in flight */
 byte spent;
 
-#define CHECK assert(held + spent <= CREDITS)
+#define CHECK_CREDITS assert(held + spent <= CREDITS)
 
-inline Return(ledger, lent, came_back) {
+inline Return(ledger, granted, returned_credits) {
 #ifdef MUTATION_INFLATED_RETURN
-  ledger = ledger + came_back + 1; held = held + 1;
+  ledger = ledger + returned_credits + 1; held = held + 1;
 #else
   if
-  :: came_back > lent ->
-     held = held - (came_back - lent); ledger = ledger + lent
-  :: else -> ledger = ledger + came_back
+  :: returned_credits > granted ->
+     held = held - (returned_credits - granted); ledger = ledger + granted
+  :: else -> ledger = ledger + returned_credits
   fi;
 #endif
-  CHECK
+  CHECK_CREDITS
 }
 
-inline Spend(ledger) { ledger--; held--; spent++; CHECK }
+inline Spend(ledger) { ledger--; held--; spent++; CHECK_CREDITS }
 
-/* The serving hop `id` at `level` (0: the caller's entry node), and the entry
- * of its nested call at level + 1. */
-proctype Hop(byte id; byte level; byte hop) {
-  byte call, lent_call, lent, child, status;
-  bool drained;
+/* Hop `id` at `level` with its credits (level 0 is the caller's entry node),
+ * and the nested call that it makes to level + 1. */
+proctype Hop(byte id; byte level; byte hop_credits) {
+  byte call_credits, granted_to_call, granted, child, status;
+  bool free_retry_used;
 
   if
   :: level == 0 -> goto nested
-  :: level > 0 -> atomic { answer[id] = REFUSED; returned[id] = hop; goto end }
+  :: level > 0 ->
+     atomic { answer[id] = REFUSED; returned[id] = hop_credits; goto end }
 #ifndef NO_DRAINING
-  :: level > 0 -> atomic { answer[id] = DRAINING; returned[id] = hop; goto end }
+  :: level > 0 ->
+     atomic { answer[id] = DRAINING; returned[id] = hop_credits; goto end }
 #endif
   :: level > 0 ->
      atomic {
@@ -80,65 +82,70 @@
   fi;
   if
   :: level < DEPTH -> goto nested
-  :: level == DEPTH -> atomic { answer[id] = OK; returned[id] = hop; goto end }
   :: level == DEPTH ->
-     atomic { answer[id] = FAILED; returned[id] = hop; goto end }
+     atomic { answer[id] = OK; returned[id] = hop_credits; goto end }
+  :: level == DEPTH ->
+     atomic { answer[id] = FAILED; returned[id] = hop_credits; goto end }
   fi;
 
-nested: /* LendToNested: half, so that a sibling still finds some */
+nested: /* LendToNested: half, to leave credits for a concurrent nested call */
   atomic {
-    lent_call = (level == 0 -> hop : (hop + 1) / 2);
-    hop = hop - lent_call; call = lent_call; drained = false
+    granted_to_call = (level == 0 -> hop_credits : (hop_credits + 1) / 2);
+    hop_credits = hop_credits - granted_to_call;
+    call_credits = granted_to_call; free_retry_used = false
   }
 
-try: /* LendToAttempt */
+attempt: /* LendToAttempt */
   atomic {
-    lent = (call > 1 -> call - 1 : call);
-    call = call - lent;
+    granted = (call_credits > 1 -> call_credits - 1 : call_credits);
+    call_credits = call_credits - granted;
     assert(next_hop < MAX_HOPS);
     child = next_hop; next_hop++;
-    run Hop(child, level + 1, lent)
+    run Hop(child, level + 1, granted)
   }
   if
-  :: atomic { answer[child] != NONE ->
+  :: atomic { answer[child] != NO_ANSWER ->
        status = answer[child];
-       Return(call, lent, returned[child]);
-       answer[child] = NONE; returned[child] = 0; lent = 0; child = 0 }
+       Return(call_credits, granted, returned[child]);
+       answer[child] = NO_ANSWER; returned[child] = 0; granted = 0; child = 0 }
   :: atomic { true ->
        status = LOST;
 #ifdef MUTATION_REFUND_LOST
-       call = call + lent; held = held + lent; CHECK;
+       call_credits = call_credits + granted; held = held + granted;
+       CHECK_CREDITS;
 #endif
-       lent = 0; child = 0 }
+       granted = 0; child = 0 }
   fi;
   if
   :: status == OK
-  :: status != OK && status != DRAINING && call > 0 ->
-     atomic { Spend(call); status = NONE; goto try }
-  :: status == DRAINING && !drained ->
-     atomic { drained = true; status = NONE; goto try }
-  :: status != OK -> status = FAILED /* gives up: no credit or no budget */
+  :: status != OK && status != DRAINING && call_credits > 0 ->
+     atomic { Spend(call_credits); status = NO_ANSWER; goto attempt }
+  :: status == DRAINING && !free_retry_used ->
+     atomic { free_retry_used = true; status = NO_ANSWER; goto attempt }
+  :: status != OK -> status = FAILED /* no retry: no credit or retry budget */
   fi;
 
   atomic { /* ReturnToParent */
-    hop = hop + call; call = 0;
+    hop_credits = hop_credits + call_credits; call_credits = 0;
     if
     :: level == 0 -> goto end
     :: level > 0 && status == OK
     :: level > 0 && status != OK /* the server passes the failure on */
-    :: level > 0 && status != OK && hop > 0 ->
-       /* the backend server repeats the nested call: RefuseNestedRepeat */
+    :: level > 0 && status != OK && hop_credits > 0 ->
+       /* the backend server repeats the nested call for one credit:
+        * RefuseNestedRepeat */
 #ifdef MUTATION_REPEAT_KEEPS_LOAN
-       lent_call = (hop + 1) / 2;
-       Spend(hop);
-       call = lent_call; held = held + lent_call; CHECK;
-       goto try
+       granted_to_call = (hop_credits + 1) / 2;
+       Spend(hop_credits);
+       call_credits = granted_to_call; held = held + granted_to_call;
+       CHECK_CREDITS;
+       goto attempt
 #else
-       Spend(hop);
+       Spend(hop_credits);
        goto nested
 #endif
     fi;
-    answer[id] = status; returned[id] = hop
+    answer[id] = status; returned[id] = hop_credits
   }
 end:
   skip
--- a/models/ledger_claims.cmake
+++ b/models/ledger_claims.cmake
@@ -15,5 +15,6 @@
 amaranth_model(claims caught MUTATION_RUN_ON_UNKNOWN)
 amaranth_model(claims caught MUTATION_FORGOTTEN_RUNS)
 amaranth_model(claims caught TICKET MUTATION_NEW_HOME)
-# What the code did until the gap was closed: "not run" on an unknown claim.
+# Answering "not run" for an unknown claim violates the stricter guarantee; the
+# code answers "may have run" (DOUBT_ON_UNKNOWN).
 amaranth_model(claims caught ASSERT_KEY_NEVER_RAN)
--- a/models/run_model.sh
+++ b/models/run_model.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
 # Checks one spin model: run_model.sh MODEL.pml holds|caught [-DNAME...]
 #
-# "holds": the search must end without an error and without having been cut
-# short. "caught": the mutation named by -D must break an assertion; a model
-# that no longer notices it proves nothing.
+# "holds": the search must complete without an error; a search cut short by a
+# depth or memory limit fails the check. "caught": the mutation named by -D must
+# violate an assertion; a model that does not detect it proves nothing.
 set -u
 model=$(readlink -f "$1")
 expected=$2
--- a/models/settings.pml
+++ b/models/settings.pml
@@ -1,45 +1,48 @@
-/* Settings: operators race to change them through the platform.
+/* Settings: concurrent changes by several operators through the platform.
  *
  * Each operator's node reads the head, then moves it by compare-and-set
  * together with its change id. The platform may answer, lose the answer after
- * the write took effect, lose the request, or hold the write back and let it
- * take effect at any later time. The node settles doubt by reading its change
- * id: found is accepted; not found is final only after the condition failed,
- * since until then a held write may still come.
+ * the write took effect, lose the request, or delay the write until any later
+ * time. The node resolves an unknown outcome by reading its change id. If the
+ * id is found, the change is accepted. If it is not found, the change has
+ * failed only if the condition failed before, since otherwise a delayed write
+ * may still take effect.
  *
- * Readers take versions from the platform's head or from each other, and
- * restart at any time, forgetting everything.
+ * Readers take versions from the platform's head or from each other, and may
+ * restart at any time without any stored state.
  *
- * Promises:
- *   - a version has one winner (table row `winner`, written once);
- *   - "accepted" is told only for a change that is in the history for good,
- *     "lost the race" only for one that never takes effect;
- *   - a version in force at a node only rises, until the node restarts, and
- *     a restarted node is not ready below what the platform named as head.
+ * Checked properties:
+ *   - each version is written by exactly one operator (`winner`, written once);
+ *   - "accepted" is answered only for a change that is permanently in the
+ *     history, "lost the race" only for one that never takes effect;
+ *   - the version in force at a node only increases until the node restarts,
+ *     and a restarted node is not ready below the head that the platform
+ *     reported.
  *
- * Mutations: see MUTATION_ below; each breaks a promise and must be caught. */
+ * Mutations: the MUTATION_ macros below. Each violates one of these properties
+ * and must be caught. */
 
 #define OPERATORS 2
 #define READERS 2
 #define MAX_VERSION 2 /* one for each operator */
-#define NOBODY 99
+#define NO_OPERATOR 99
 
-/* The platform: the head, and who won each version. */
+/* The platform: the head, and the operator that wrote each version. */
 byte head = 0;
-byte winner[MAX_VERSION + 1] = NOBODY;
-bool recorded[OPERATORS]; /* the change row */
+byte winner[MAX_VERSION + 1] = NO_OPERATOR;
+bool recorded[OPERATORS]; /* the row of the operator's change id exists */
 
-/* One write of each operator that the network holds back. */
-bool held[OPERATORS];
-byte held_expected[OPERATORS];
+/* At most one delayed write of each operator. */
+bool delayed[OPERATORS];
+byte delayed_expected[OPERATORS];
 
-/* What operators were told. */
-mtype = {untold, accepted, lost, unknown};
-mtype told[OPERATORS] = untold;
+/* The answer to each operator. */
+mtype = {unanswered, accepted, lost_race, unknown};
+mtype answer[OPERATORS] = unanswered;
 
-/* The compare-and-set, one transaction with the change row. A change that is
- * recorded already is refused by the condition too, as the head moved. */
-inline move_head(who, expected, done) {
+/* The compare-and-set of the head, in one transaction with the change row.
+ * A change that is already recorded fails the condition: the head has moved. */
+inline move_head(writer, expected, moved) {
   d_step {
     if
 #ifdef MUTATION_BLIND_WRITE
@@ -49,156 +52,159 @@
     :: (head == expected && head < MAX_VERSION) ->
       head = head + 1;
 #endif
-      /* one winner for a version */
-      assert(winner[head] == NOBODY);
-      winner[head] = who;
-      recorded[who] = true;
-      assert(told[who] != lost);
-      done = true
+      /* exactly one operator writes a version */
+      assert(winner[head] == NO_OPERATOR);
+      winner[head] = writer;
+      recorded[writer] = true;
+      assert(answer[writer] != lost_race);
+      moved = true
     :: else ->
-      done = false
+      moved = false
     fi
   }
 }
 
-/* The held writes may take effect at any time, or never. */
+/* A delayed write may take effect at any time, or never. */
 active proctype network() {
-  bool done;
-  byte who;
+  bool moved;
+  byte writer;
 end:
   do
   :: atomic {
-      held[0] -> who = 0; held[0] = false
+      delayed[0] -> writer = 0; delayed[0] = false
     }
-    move_head(who, held_expected[who], done)
+    move_head(writer, delayed_expected[writer], moved)
   :: atomic {
-      held[1] -> who = 1; held[1] = false
+      delayed[1] -> writer = 1; delayed[1] = false
     }
-    move_head(who, held_expected[who], done)
+    move_head(writer, delayed_expected[writer], moved)
   od
 }
 
 active [OPERATORS] proctype operator() {
-  byte me = _pid - 1; /* the network is process 0 */
+  byte operator_index = _pid - 1; /* the network is process 0 */
   byte base;
-  byte tries = 0;
-  bool done = false;
+  byte attempts = 0;
+  bool moved = false;
   bool condition_failed = false;
 
   base = head;
 
 send:
   if
-  :: tries == 2 ->
-    told[me] = unknown; /* 503: may have been accepted */
+  :: attempts == 2 ->
+    answer[operator_index] = unknown; /* 503: may have been accepted */
     goto finished
-  :: else -> tries++
+  :: else -> attempts++
   fi;
   condition_failed = false;
   if
   :: /* answered */
-    move_head(me, base, done);
+    move_head(operator_index, base, moved);
     if
-    :: done -> goto won
+    :: moved -> goto change_accepted
     :: else -> condition_failed = true
     fi
   :: /* took effect, answer lost */
-    move_head(me, base, done)
+    move_head(operator_index, base, moved)
   :: /* request lost */
     skip
-  :: /* held back; the network carries one such write for each operator */
+  :: /* delayed; at most one such write for each operator */
     atomic {
-      !held[me] -> held[me] = true; held_expected[me] = base
+      !delayed[operator_index] -> delayed[operator_index] = true;
+      delayed_expected[operator_index] = base
     }
   fi;
 
 #ifdef MUTATION_NO_READ_BACK
   if
-  :: condition_failed -> goto beaten
+  :: condition_failed -> goto change_lost
   :: else -> goto send
   fi;
 #endif
 
   /* read the change id */
   if
-  :: recorded[me] -> goto won
+  :: recorded[operator_index] -> goto change_accepted
   :: else ->
     if
 #ifdef MUTATION_ABSENT_IS_LOST
-    :: true -> goto beaten
+    :: true -> goto change_lost
 #else
-    :: condition_failed -> goto beaten
+    :: condition_failed -> goto change_lost
     :: else -> goto send
 #endif
     fi
   fi;
 
-won:
+change_accepted:
   skip;
   d_step {
-    told[me] = accepted;
-    assert(recorded[me]);
-    assert(winner[1] == me || winner[2] == me)
+    answer[operator_index] = accepted;
+    assert(recorded[operator_index]);
+    assert(winner[1] == operator_index || winner[2] == operator_index)
   };
   goto finished;
 
-beaten:
+change_lost:
   skip;
-  /* told 409: the change is not in force and never will be */
+  /* 409: the change is not in force and never will be */
   d_step {
-    told[me] = lost;
-    assert(!recorded[me])
+    answer[operator_index] = lost_race;
+    assert(!recorded[operator_index])
   }
 
 finished:
   skip
 }
 
-/* What each reader has in force; 0 before it has learnt any. */
+/* The version in force at each reader; 0 before it has received one. */
 byte in_force[READERS];
 
 active [READERS] proctype reader() {
-  byte me = _pid - 1 - OPERATORS;
+  byte reader_index = _pid - 1 - OPERATORS;
   byte seen;
-  byte named = 0; /* the highest head that the platform named to this life */
+  byte reported_head = 0; /* highest head that the platform reported since the
+                             restart */
   byte before;
 end:
   do
-  :: /* poll the head, then fetch: the head may move between */
+  :: /* polls the head, then fetches; the head may move in between */
     d_step {
       seen = head;
       if
-      :: seen > named -> named = seen
+      :: seen > reported_head -> reported_head = seen
       :: else
       fi
     };
     goto adopt
-  :: /* a peer's snapshot, which may be old when it arrives */
+  :: /* receives a peer's snapshot, which may be old when it arrives */
     d_step {
-      seen = in_force[1 - me]
+      seen = in_force[1 - reader_index]
     };
 adopt:
     skip;
     d_step {
-      before = in_force[me];
+      before = in_force[reader_index];
       if
 #ifdef MUTATION_TAKE_LOWER
-      :: true -> in_force[me] = seen
+      :: true -> in_force[reader_index] = seen
 #else
-      :: seen > in_force[me] -> in_force[me] = seen
+      :: seen > in_force[reader_index] -> in_force[reader_index] = seen
       :: else
 #endif
       fi;
-      assert(in_force[me] >= before); /* versions only rise */
-      assert(in_force[me] <= head); /* only what was accepted */
-      assert(in_force[me] >= named); /* ready: not below the named head */
+      assert(in_force[reader_index] >= before); /* versions only increase */
+      assert(in_force[reader_index] <= head); /* only accepted versions */
+      /* ready: not below the reported head */
+      assert(in_force[reader_index] >= reported_head);
       before = 0;
       seen = 0
     }
-  :: /* a host is replaced: it keeps nothing */
+  :: /* the host is replaced and loses all state */
     d_step {
-      in_force[me] = 0;
-      named = 0
+      in_force[reader_index] = 0;
+      reported_head = 0
     }
   od
 }
