--- a/src/bench/echo_server.cc
+++ b/src/bench/echo_server.cc
@@ -137,10 +137,9 @@
       cxxopts::value<uint16_t>()->default_value("0"));
   add("name", "name of the backend server",
       cxxopts::value<std::string>()->default_value("echo-1"));
-  add("service", "name of the service",
+  add("service", "service",
       cxxopts::value<std::string>()->default_value("echo"));
-  add("slots", "announced slots",
-      cxxopts::value<uint32_t>()->default_value("1000"));
+  add("slots", "slots", cxxopts::value<uint32_t>()->default_value("1000"));
   add("node", "IP:PORT of the node to announce to; none if empty",
       cxxopts::value<std::string>()->default_value(""));
   add("work-us", "service time of each request in microseconds",
--- a/src/bench/load_tool.cc
+++ b/src/bench/load_tool.cc
@@ -349,14 +349,13 @@
   add("target", "IP:PORT to send to", cxxopts::value<std::string>());
   add("method", "GET or POST",
       cxxopts::value<std::string>()->default_value("GET"));
-  add("path", "request target",
-      cxxopts::value<std::string>()->default_value("/"));
+  add("path", "target", cxxopts::value<std::string>()->default_value("/"));
   add("header", "header field as 'Name: value'; may be repeated",
       cxxopts::value<std::vector<std::string>>()->default_value(
           "X-Amaranth-Service: echo"));
   add("rate", "requests per second; 0 for a closed loop",
       cxxopts::value<double>()->default_value("0"));
-  add("connections", "number of connections",
+  add("connections", "connections",
       cxxopts::value<size_t>()->default_value("32"));
   add("seconds", "length of the measurement in seconds",
       cxxopts::value<double>()->default_value("10"));
--- a/src/bench/plot_policy.sh
+++ b/src/bench/plot_policy.sh
@@ -30,7 +30,7 @@
 set output "$out/$topology-$scenario.svg"
 set title "$topology, $scenario"
 set xlabel "seconds"
-set ylabel "requests answered within the deadline, per second"
+set ylabel "requests answered in time, per second"
 set yrange [0:*]
 set key outside
 plot "$out/$scenario.none.dat" with lines title "no control", \
--- a/src/cmake/check.sh
+++ b/src/cmake/check.sh
@@ -22,7 +22,7 @@
 echo "== tests"
 excluded=""
 if [ -s KNOWN-RED.txt ]; then
-  echo "excluded by KNOWN-RED.txt:"
+  echo "excluded as known red (KNOWN-RED.txt):"
   cat KNOWN-RED.txt
   excluded=$(cut -d: -f1 KNOWN-RED.txt | paste -sd'|')
 fi
--- a/src/cmake/check_layers.sh
+++ b/src/cmake/check_layers.sh
@@ -18,7 +18,7 @@
   [ "$part" = settings ] &&
     wrong+=$(grep -n '"libnode/membership/' settings/*.h settings/*.cc || true)
   if [ -n "$wrong" ]; then
-    echo "libnode/$part includes a part that it must not depend on:"
+    echo "libnode/$part includes a part listed after it, or its sibling:"
     echo "$wrong"
     status=1
   fi
