--- a/src/bench/capacity_bench.cc
+++ b/src/bench/capacity_bench.cc
@@ -141,10 +141,10 @@
     for (size_t i = 0; i < kSettingsChangeCount; ++i) {
       fleet.ChangeSettings(i % nodes, 1);
       fleet.RunFor(kHeadMoveTime);
-      const Duration taken =
+      const Duration delay =
           fleet.RunUntilSettingsInForce(seconds(4)) + kHeadMoveTime;
-      slowest = std::max(slowest, taken);
-      fleet.RunFor(seconds(5) - taken);
+      slowest = std::max(slowest, delay);
+      fleet.RunFor(seconds(5) - delay);
     }
   }));
   rows.back().values["slowest in force s"] = ToSeconds(slowest);
--- a/src/bench/capacity_fleet.cc
+++ b/src/bench/capacity_fleet.cc
@@ -39,8 +39,8 @@
 
 uint64_t CpuNanosSince(uint64_t start) {
   static const uint64_t cost = ClockReadingNanos();
-  const uint64_t taken = ProcessCpuNanos() - start;
-  return taken > cost ? taken - cost : 0;
+  const uint64_t elapsed_ns = ProcessCpuNanos() - start;
+  return elapsed_ns > cost ? elapsed_ns - cost : 0;
 }
 
 std::string HostName(size_t node) { return "host-" + std::to_string(node); }
@@ -155,9 +155,9 @@
 Duration CapacityFleet::RunUntilSettingsInForce(Duration limit) {
   return RunUntilSampledNodes(
       [this](size_t node) {
-        const std::string wanted =
+        const std::string expected =
             "\"settings_version\":" + std::to_string(head_version_) + ",";
-        return GetStatus(node).find(wanted) != std::string_view::npos;
+        return GetStatus(node).find(expected) != std::string_view::npos;
       },
       limit);
 }
@@ -168,17 +168,17 @@
   request.method = "GET";
   request.target = "/status";
   operator_call_ = next_call_++;
-  const OperatorRequest asked{operator_call_, std::move(request)};
-  ApplyEffects(node, hosts_[node].node->Reduce({now_, asked}));
+  const OperatorRequest operator_request{operator_call_, std::move(request)};
+  ApplyEffects(node, hosts_[node].node->Reduce({now_, operator_request}));
   return operator_answer_.body.view();
 }
 
 size_t CapacityFleet::CountAliveMembers(size_t node) {
   const std::string_view text = GetStatus(node);
-  const std::string_view wanted = "\"state\":\"alive\"";
+  const std::string_view expected = "\"state\":\"alive\"";
   size_t count = 0;
-  for (size_t at = text.find(wanted); at != std::string_view::npos;
-       at = text.find(wanted, at + 1)) {
+  for (size_t at = text.find(expected); at != std::string_view::npos;
+       at = text.find(expected, at + 1)) {
     ++count;
   }
   return count;
@@ -317,9 +317,9 @@
   const Event event{now_, std::move(body)};
   const uint64_t start = ProcessCpuNanos();
   const Effects effects = host.node->Reduce(event);
-  const uint64_t taken = CpuNanosSince(start);
-  usage_.reducer_ns += taken;
-  RecordUsage(node, 0, taken);
+  const uint64_t elapsed_ns = CpuNanosSince(start);
+  usage_.reducer_ns += elapsed_ns;
+  RecordUsage(node, 0, elapsed_ns);
   ApplyEffects(node, effects);
 }
 
@@ -353,17 +353,17 @@
   links_.insert({std::min(node, to), std::max(node, to)});
   const uint64_t start = ProcessCpuNanos();
   std::string bytes = EncodePeerMessage(effect.message);
-  const uint64_t taken = CpuNanosSince(start);
-  usage_.codec_ns += taken;
+  const uint64_t elapsed_ns = CpuNanosSince(start);
+  usage_.codec_ns += elapsed_ns;
   ++usage_.messages;
-  RecordUsage(node, bytes.size() + kFrameHeaderBytes, taken);
+  RecordUsage(node, bytes.size() + kFrameHeaderBytes, elapsed_ns);
   const NodeRef sender = hosts_[node].identity.node;
   Schedule(Latency(node, to), [this, to, sender, bytes = std::move(bytes)] {
-    const uint64_t began = ProcessCpuNanos();
+    const uint64_t decode_start = ProcessCpuNanos();
     Outcome<PeerMessage> message = DecodePeerMessage(bytes);
-    const uint64_t spent = CpuNanosSince(began);
-    usage_.codec_ns += spent;
-    RecordUsage(to, 0, spent);
+    const uint64_t decode_ns = CpuNanosSince(decode_start);
+    usage_.codec_ns += decode_ns;
+    RecordUsage(to, 0, decode_ns);
     if (message) Deliver(to, PeerReceived{sender, std::move(message.value())});
   });
 }
@@ -378,21 +378,21 @@
 void CapacityFleet::ApplyEffect(size_t node, const SendGossip& effect) {
   const uint64_t start = ProcessCpuNanos();
   std::string bytes = EncodeGossip(effect.message);
-  const uint64_t taken = CpuNanosSince(start);
-  usage_.codec_ns += taken;
+  const uint64_t elapsed_ns = CpuNanosSince(start);
+  usage_.codec_ns += elapsed_ns;
   ++usage_.messages;
-  RecordUsage(node, bytes.size(), taken);
+  RecordUsage(node, bytes.size(), elapsed_ns);
   const auto found = by_name_.find(effect.to.ip);
   if (found == by_name_.end()) return;
   const size_t to = found->second;
   if (!hosts_[to].up || !IsReachable(node, to)) return;
   const Endpoint from = hosts_[node].identity.gossip_address;
   Schedule(Latency(node, to), [this, to, from, bytes = std::move(bytes)] {
-    const uint64_t began = ProcessCpuNanos();
+    const uint64_t decode_start = ProcessCpuNanos();
     Outcome<GossipMessage> message = DecodeGossip(bytes);
-    const uint64_t spent = CpuNanosSince(began);
-    usage_.codec_ns += spent;
-    RecordUsage(to, 0, spent);
+    const uint64_t decode_ns = CpuNanosSince(decode_start);
+    usage_.codec_ns += decode_ns;
+    RecordUsage(to, 0, decode_ns);
     if (message) Deliver(to, GossipReceived{from, std::move(message.value())});
   });
 }
