--- a/models/claims.pml
+++ b/models/claims.pml
@@ -1,6 +1,6 @@
 /* At-most-once execution for one idempotency key (entry_keys.cc,
  * claim_coordinator.cc and key_registry.cc in src/libnode/entry,
- * src/libplatform/claim_run.cc).
+ * src/libplatform/claim_operation.cc).
  *
  * The model has two entry nodes; a caller that sends the same keyed request
  * several times, to either node, without waiting for an answer; the platform's
--- a/models/ledger.pml
+++ b/models/ledger.pml
@@ -88,14 +88,14 @@
      atomic { answer[id] = FAILED; returned[id] = hop_credits; goto end }
   fi;
 
-nested: /* LendToNested: half, to leave credits for a concurrent nested call */
+nested: /* GrantToNested: half, to leave credits for a concurrent nested call */
   atomic {
     granted_to_call = (level == 0 -> hop_credits : (hop_credits + 1) / 2);
     hop_credits = hop_credits - granted_to_call;
     call_credits = granted_to_call; free_retry_used = false
   }
 
-attempt: /* LendToAttempt */
+attempt: /* GrantToAttempt */
   atomic {
     granted = (call_credits > 1 -> call_credits - 1 : call_credits);
     call_credits = call_credits - granted;
@@ -125,7 +125,7 @@
   :: status != OK -> status = FAILED /* no retry: no credit or retry budget */
   fi;
 
-  atomic { /* ReturnToParent */
+  atomic { /* ReportToParent */
     hop_credits = hop_credits + call_credits; call_credits = 0;
     if
     :: level == 0 -> goto end
@@ -133,7 +133,7 @@
     :: level > 0 && status != OK /* the server passes the failure on */
     :: level > 0 && status != OK && hop_credits > 0 ->
        /* the backend server repeats the nested call for one credit:
-        * RefuseNestedRepeat */
+        * RefuseNestedRetry */
 #ifdef MUTATION_REPEAT_KEEPS_LOAN
        granted_to_call = (hop_credits + 1) / 2;
        Spend(hop_credits);
--- a/src/bench/policy_run.cc
+++ b/src/bench/policy_run.cc
@@ -10,9 +10,9 @@
 namespace amaranth::bench {
 namespace {
 
-using pvt::Effected;
 using pvt::FakeAnswer;
 using pvt::FakeFleet;
+using pvt::FakeServerRun;
 
 // Load before and after the trigger, as a share of the capacity.
 constexpr double kNormalLoad = 0.7;
@@ -82,11 +82,11 @@
     ApplySettings();
     AddServers();
     fleet_.RunFor(kSettleTime);
-    fleet_.ForgetHistory();
+    fleet_.DiscardHistory();
     fleet_.on_answer = [this](uint64_t call, const FakeAnswer& answer) {
       OnAnswer(call, answer);
     };
-    fleet_.on_run = [this](const Effected& run) { OnRun(run); };
+    fleet_.on_run = [this](const FakeServerRun& run) { OnRun(run); };
     start_ = fleet_.now();
     load_ = kNormalLoad;
     ScheduleArrival();
@@ -125,8 +125,8 @@
     request.method = "POST";
     request.target = "/settings";
     request.body = Body(nlohmann::json({{"changes", changes}}).dump());
-    const HttpResponse response =
-        fleet_.Operator(topology_.hosts.front().name, std::move(request));
+    const HttpResponse response = fleet_.CallOperatorApi(
+        topology_.hosts.front().name, std::move(request));
     if (response.status != 200) {
       throw std::runtime_error("settings change was refused: " +
                                std::string(response.body.view()));
@@ -221,7 +221,7 @@
     Send(id);
   }
 
-  void OnRun(const Effected& run) {
+  void OnRun(const FakeServerRun& run) {
     // stoul() parses up to the first dot: nested calls without context append
     // their own number to the request id.
     Request& request = requests_.at(std::stoul(run.request_id));
--- a/src/fuzz/fuzz_frames.cc
+++ b/src/fuzz/fuzz_frames.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-using amaranth::Frame;
+using amaranth::EncodeFrame;
 using amaranth::FrameReader;
 using amaranth::Outcome;
 using amaranth::pvt::Require;
@@ -28,7 +28,7 @@
     }
     Require(payload.value()->size() <= kMaxPayload,
             "payload is within the size limit");
-    returned += Frame(*payload.value());
+    returned += EncodeFrame(*payload.value());
     static_cast<void>(amaranth::DecodePeerMessage(*payload.value()));
   }
 }
--- a/src/fuzz/write_corpus.cc
+++ b/src/fuzz/write_corpus.cc
@@ -104,7 +104,7 @@
   std::string stream(1, '\x07');  // fed in pieces of eight bytes
   for (const PeerMessage& message : SamplePeerMessages()) {
     const std::string payload = EncodePeerMessage(message);
-    stream += Frame(payload);
+    stream += EncodeFrame(payload);
     WriteFile(folder / "peer_message", number++, payload);
   }
   WriteFile(folder / "frames", 0, stream);
