--- a/src/amaranthd/main.cc
+++ b/src/amaranthd/main.cc
@@ -35,7 +35,7 @@
 // Limits how long the exit waits for callers that read slowly when a stop grace
 // is set. A process that exceeds the grace is killed, which breaks its other
 // connections too.
-constexpr std::chrono::milliseconds kFlushLimitWithinGrace{300};
+constexpr std::chrono::milliseconds kFlushTimeoutWithinGrace{300};
 
 // Share of the stop grace in which a stopping process waits for requests in
 // flight. The rest is left for writing the last answers.
@@ -85,7 +85,7 @@
   }
   if (options.rows) platform::ConfigureHttpClient(host);
   if (options.stop_grace.count() > 0)
-    host.flush_timeout = kFlushLimitWithinGrace;
+    host.flush_timeout = kFlushTimeoutWithinGrace;
   host.client.max_response_bytes = options.identity.max_body_bytes;
   host.log.level = options.log_level;
   host.log.format = options.log_format;
