--- a/src/libnode/entry/admission.cc
+++ b/src/libnode/entry/admission.cc
@@ -63,8 +63,8 @@
   ended.latency = now - call.started;
   ended.served = served;
   // An attempt that is still in flight at the deadline has not reported its
-  // waiting time. That time is missing here, so such a request may not count
-  // as overload.
+  // waiting time. Without that time such a request counts as overload only if
+  // its earlier attempts waited long enough.
   ended.waited = call.waited;
   ClassWindow& own = windows_[ClassKey(call)];
   if (!own.window.OnEnd(ended, target)) return;
--- a/src/libnode/entry/admission.h
+++ b/src/libnode/entry/admission.h
@@ -54,9 +54,9 @@
   };
 
   // Returns the window to shrink when requests in the window `own` wait too
-  // long: that of the least important tier below its tier whose requests have
-  // lately waited, too (for the same services, as far as this node can tell);
-  // else `own` itself.
+  // long. Of the windows of less important tiers whose requests have lately
+  // waited, too (for the same services, as far as this node can tell), this is
+  // one of the least important tier; if there is none, `own` itself.
   ClassWindow& WindowToShrink(ClassWindow& own);
 
   // Returns the table key of a call's service and class. Callers choose class
--- a/src/libnode/entry/call.h
+++ b/src/libnode/entry/call.h
@@ -57,7 +57,9 @@
   uint64_t parent_hop = 0;  // nested calls
   uint16_t granted_by_parent = 0;
   CreditLedger ledger;
-  std::string key;  // idempotency key or ticket; empty for a call without one
+  // Key for at-most-once execution, from the idempotency key, the ticket or the
+  // request id; empty for a call without one.
+  std::string key;
   bool joinable = false;
   std::optional<Attempt> attempt;
   std::set<std::string> tried_servers;  // "node/server"
--- a/src/libnode/entry/entry_attempts.cc
+++ b/src/libnode/entry/entry_attempts.cc
@@ -301,8 +301,8 @@
 }
 
 // Applies the retry budget of the whole fleet, which counts arrivals at backend
-// servers. An attempt that a serving node shed, or that reached no host, has
-// cost the service nothing; its retry is the first arrival.
+// servers. An attempt that a serving node shed or refused, or that reached no
+// host, has cost the service nothing; its retry is the first arrival.
 bool EntryRole::AuthorizeFromFleetShare(Call& call, Context& context) {
   if (call.arrivals == 0) return call.attempts < kMaxUnreachedAttempts;
   if (call.max_attempts > 0 && call.arrivals >= call.max_attempts) return false;
--- a/src/libnode/entry/entry_role.h
+++ b/src/libnode/entry/entry_role.h
@@ -173,8 +173,8 @@
   std::map<std::string, Duration> retry_after_;          // by service and class
   std::map<uint64_t, Call> calls_;
   std::map<AttemptId, uint64_t> by_attempt_;
-  std::map<std::string, size_t>
-      in_flight_by_peer_;  // attempts in flight, by peer
+  // Number of attempts in flight, by peer.
+  std::map<std::string, size_t> in_flight_by_peer_;
   std::map<CallId, uint64_t> by_http_call_;
   std::map<std::string, uint64_t> joinable_;  // by request id
   std::multimap<uint64_t, uint64_t> by_parent_hop_;
--- a/src/libnode/entry/server_choice.cc
+++ b/src/libnode/entry/server_choice.cc
@@ -16,8 +16,8 @@
 // then probed by one call. This may be short because a refused connection costs
 // that call only a retry.
 constexpr Duration kUnreachableBackoff = std::chrono::seconds(1);
-// An unreachable host is used normally again if no call was sent to it for this
-// long after that.
+// If no call is sent to an unreachable host for this long after the backoff, it
+// is used normally again.
 constexpr Duration kUnreachableRetention = std::chrono::seconds(10);
 constexpr Duration kServerRetention = std::chrono::minutes(2);
 constexpr double kLatencyWeight = 0.2;
--- a/src/libnode/entry/server_choice.h
+++ b/src/libnode/entry/server_choice.h
@@ -31,8 +31,8 @@
   explicit ServerChoice(std::string data_centre = "")
       : data_centre_(std::move(data_centre)) {}
 
-  // Chooses among `places`, leaving out `tried` and, if `level` is given,
-  // servers known to shed that level now.
+  // Chooses among `places`, leaving out `tried_servers` and, if `level` is
+  // given, servers known to shed that level now.
   std::optional<ServerPlace> Choose(const std::vector<ServerPlace>& places,
                                     const EffectiveSettings& settings,
                                     const std::set<std::string>& tried_servers,
@@ -83,8 +83,8 @@
     uint32_t in_flight = 0;  // attempts of this node
     Duration latency{0};     // exponential moving average
     LoadReport report;
-    uint32_t sent_since_report =
-        0;  // calls that this node sent since the report
+    // Calls that this node sent since the report.
+    uint32_t sent_since_report = 0;
     TimePoint reported_at{};
     TimePoint last_used{};
   };
--- a/src/libnode/overload_test.cc
+++ b/src/libnode/overload_test.cc
@@ -201,7 +201,7 @@
 
 // One caller sends three times the capacity, nine others send little. All are
 // of one tier, so shedding by tier alone would refuse the same part of each;
-// fair sharing must answer the nine and refuse the one.
+// fair sharing must answer the nine and shed the excess of the one.
 TEST(Overload, ACallerAboveItsShareDoesNotReduceTheOthers) {
   Start({"a1"});  // 200 a second
   std::vector<Stream> streams{{"hot", "browse", "hot", 600}};
--- a/src/libnode/peer_links.cc
+++ b/src/libnode/peer_links.cc
@@ -5,8 +5,9 @@
 namespace amaranth::pvt {
 namespace {
 
-// How often links are checked while any has outstanding calls: less than half
-// of the time after which a link is pinged.
+// How often links are checked while any has outstanding calls. Short compared
+// with the 400 ms after which a link counts as unresponsive: 250 ms until it is
+// pinged, and 150 ms without an answer to the ping (see ProgressWatchOptions).
 constexpr Duration kCheckPeriod = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/src/libnode/promises_property_test.cc
+++ b/src/libnode/promises_property_test.cc
@@ -1,7 +1,8 @@
 // Property test of the guarantees to callers over random event sequences:
 // several reducers connected by the fake fleet, with network partitions,
 // paused, killed and restarted nodes, lost platform answers and resends. The
-// environment variable AMARANTH_PROPERTY_SEEDS gives the number of seeds.
+// environment variable AMARANTH_PROPERTY_SEEDS gives the number of seeds;
+// without it kSeedsInCi seeds run.
 
 #include <CppUTest/TestHarness.h>
 
--- a/src/libnode/serving/hop.h
+++ b/src/libnode/serving/hop.h
@@ -31,8 +31,8 @@
   TimePoint deadline{};
   TimePoint dispatched{};
   TimePoint timeout_at = kNever;
-  // Typical service time without nested calls of calls of this kind, as given
-  // by the entry node; 0 if unknown.
+  // Typical service time of this kind of call, without its nested calls, as
+  // given by the entry node; 0 if unknown.
   Duration typical_service_time{0};
   HopState state = HopState::kQueued;
   bool is_suspect = false;  // dispatched as a suspect, alone at its server
--- a/src/libnode/serving/serving_results.cc
+++ b/src/libnode/serving/serving_results.cc
@@ -102,8 +102,8 @@
   const Hop hop = EndDispatch(failed.dispatch, !cancelled, context);
   if (!cancelled) JudgeResult(hop, true, context.now);
   on_hop_cancelled(hop.id, context);
-  // Before the caller is answered: a resend must find the suspects known to the
-  // other nodes.
+  // The suspects are passed to gossip before the caller is answered, because
+  // the caller may resend the request through another node.
   if (found != servers_.end()) RecordCrash(found->second, context);
   Fail(hop, FailureFor(failed, hop, context.now), context);
   if (found == servers_.end()) return;
--- a/src/libnode/serving/serving_role.h
+++ b/src/libnode/serving/serving_role.h
@@ -47,8 +47,10 @@
                 Context& context);
   void OnServerReplied(const ServerReplied& replied, Context& context);
   void OnServerFailed(const ServerFailed& failed, Context& context);
-  // Cancels calls of an entry node whose link was lost: their answers can no
-  // longer be delivered.
+  // Cancels the calls of an entry node whose link was lost, because their
+  // answers can no longer be delivered. Non-idempotent calls that were
+  // dispatched run to completion, unless DeploymentRules::request_id_per_send
+  // is set.
   void OnEntryLost(const std::string& peer, Context& context);
   void OnTimer(Context& context);
   TimePoint next_timer() const;
--- a/src/libnode/shared/caller_headers.h
+++ b/src/libnode/shared/caller_headers.h
@@ -70,7 +70,7 @@
     const std::optional<MatchedRoute>& routed = std::nullopt);
 
 // Identifies a hop in flight at its serving node. The nonce keeps a backend
-// server, or a caller that guesses, from naming a hop of another one.
+// server, or a caller that guesses, from naming a hop that is not its own.
 struct ContextToken {
   uint64_t hop = 0;
   uint64_t nonce = 0;
