--- a/src/libnode/serving/local_server.cc
+++ b/src/libnode/serving/local_server.cc
@@ -10,15 +10,16 @@
 // Limit of a server that announces no slots.
 constexpr int kDefaultSlots = 100;
 
-// Weight of the newest sample in the moving average of the service time:
-// follows a slowdown within about ten answers without reacting to each one.
+// Weight of the newest sample in the moving averages of the time that calls
+// take, nested calls included: they follow a slowdown within about ten answers
+// without reacting to each one.
 constexpr double kServiceTimeWeight = 0.1;
 
 // Target delay of the shedder as a multiple of the queue's: 80 ms with the
 // default of 20 ms. The queue, which only changes its order, reacts first.
 constexpr int kShedderTargetFactor = 4;
 
-// Bounds the table of service times: callers choose the class names.
+// Bounds the table of averages by kind: callers choose the class names.
 constexpr size_t kMaxCallKinds = 256;
 
 int SlotsOf(const ServerRecord& record, const EffectiveSettings& settings) {
@@ -111,7 +112,7 @@
     --long_in_flight_;
     latency_limit_.SetLongInFlight(long_in_flight_);
   }
-  // The latency of long work says nothing about that of ordinary calls.
+  // The latency of long work says nothing about that of other calls.
   if (!is_long) latency_limit_.OnSample(service_time, in_flight(), failed, now);
   dispatches_.erase(found);
   load_.OnEnded(service_time);
--- a/src/libnode/serving/local_server.h
+++ b/src/libnode/serving/local_server.h
@@ -30,7 +30,7 @@
   uint64_t sequence = 0;    // counts up from 1 for each process
 };
 
-// Calls with a similar service time: request class and nesting depth.
+// Calls that take about as long: those of one request class and nesting depth.
 using CallKind = std::pair<std::string, uint8_t>;
 
 class LocalServer {
@@ -55,14 +55,15 @@
   // `service_time` is `latency` without the time spent in nested calls.
   void OnEnded(uint64_t dispatch, const CallKind& kind, Duration latency,
                Duration service_time, bool failed, TimePoint now);
-  // Records that the server served an ordinary call: not long work, and neither
+  // Records that the server served a call that is not long work and was neither
   // refused nor answered with an error.
   void OnServed(Duration service_time, TimePoint now);
 
   int in_flight() const { return static_cast<int>(dispatches_.size()); }
   std::vector<std::pair<uint64_t, uint64_t>> InFlight() const;
-  // Moving averages of the service time, nested calls included: over all
-  // ordinary calls, and over those of one kind. 0 before the first sample.
+  // Moving averages of the time from dispatch to end, nested calls included,
+  // without long work: over all calls, and over those of one kind. 0 before the
+  // first sample.
   Duration expected_service() const { return expected_service_; }
   Duration ExpectedService(const CallKind& kind) const;
   LoadReport Report(TimePoint now);
@@ -81,8 +82,8 @@
   // caused it.
   std::deque<uint64_t> waiting_suspects;
   bool suspect_in_flight = false;
-  // When ordinary calls were paused so that a suspect can run alone; kNever if
-  // they are not paused.
+  // When calls other than suspects were paused so that a suspect can run alone;
+  // kNever if they are not paused.
   TimePoint paused_since = kNever;
   // Earliest start of the next pause.
   TimePoint next_pause{};
--- a/src/libnode/serving/serving_role.cc
+++ b/src/libnode/serving/serving_role.cc
@@ -11,10 +11,10 @@
 // Suspects that may wait at one server. Further ones are refused as not run.
 constexpr size_t kMaxWaitingSuspects = 16;
 
-// How long ordinary calls are paused until the calls in flight have ended and a
-// suspect can run alone. Without a bound, long work in flight would block the
-// server for seconds. The suspect then waits for the next pause, or is refused
-// as not run at its deadline.
+// How long ordinary calls (those that are no suspects) are paused until the
+// calls in flight have ended and a suspect can run alone. Without a bound, long
+// work in flight would block the server for seconds. The suspect then waits for
+// the next pause, or is refused as not run at its deadline.
 constexpr Duration kMaxPause = std::chrono::milliseconds(200);
 
 // How long the answer to a non-idempotent call is awaited past its deadline.
