--- a/src/bench/load_report.h
+++ b/src/bench/load_report.h
@@ -11,7 +11,7 @@
 
 namespace amaranth::bench {
 
-// Latencies from 1 us to 100 s, in logarithmic bins 1% wide.
+// Latencies from 1 us to 100 s, in logarithmic bins about 1% wide.
 class LatencyHistogram {
  public:
   LatencyHistogram();
--- a/src/libhost/framing.h
+++ b/src/libhost/framing.h
@@ -24,8 +24,8 @@
 // breaks, an empty name, a separator in the name).
 bool IsWritableHeader(const Header& header);
 
-// Returns false if the target is empty or contains a byte that would end it in
-// the request line.
+// Returns false if the target is empty or contains a byte that would end the
+// target or the request line.
 bool IsWritableTarget(std::string_view target);
 
 // Returns the standard reason phrase of a status, or "Unknown".
--- a/src/libhost/host.cc
+++ b/src/libhost/host.cc
@@ -62,8 +62,8 @@
         signals_(io),
         client_(io, options_.client) {}
 
-  // The hooks of the frontends, of peers and of gossip capture `this` unowned:
-  // the objects that hold them are members.
+  // The hooks of the frontends, of peers and of gossip capture `this` without
+  // owning it: the objects that hold them are members.
   void Open() {
     intake_ = std::make_shared<HttpIntake>();
     intake_->max_buffered_bytes = options_.max_buffered_bytes;
--- a/src/libhost/host.h
+++ b/src/libhost/host.h
@@ -1,8 +1,8 @@
 #ifndef AMARANTHROUTE_LIBHOST_HOST_H_
 #define AMARANTHROUTE_LIBHOST_HOST_H_
 
-// Runs the reducer on the I/O components: turns what they report into events
-// with a time stamp, and executes the effects in order. Makes no decisions.
+// Runs the reducer on the I/O shells: turns what they report into events with a
+// time stamp, and executes the effects in order. Makes no decisions.
 
 #include <chrono>
 #include <cstdint>
@@ -89,8 +89,8 @@
   void RequestStop();
   void HandleSignals();
 
-  // Returns true once the reducer has ended the process and all answers are
-  // written or the flush limit is over.
+  // Returns true once the reducer has ended the process, and all answers are
+  // written or flush_timeout has passed.
   bool exited() const;
 
   // After the exit: if not 0, the node is to be started again in this process
--- a/src/libhost/http_client.cc
+++ b/src/libhost/http_client.cc
@@ -235,10 +235,10 @@
 
   // Removes the watch of a socket without closing it. libcurl closes a socket
   // that never connected by itself, without calling OnCloseSocket. A watch left
-  // behind would refer to whatever gets the descriptor number next: a
-  // connection of a caller was shut down without an answer that way. A socket
-  // that never connected cannot be idle, so when libcurl stops waiting for it,
-  // it is closed or about to be.
+  // behind would refer to whatever gets the descriptor number next, such as the
+  // connection of a caller, which DropIdle would shut down without an answer. A
+  // socket that never connected cannot be idle, so when libcurl stops waiting
+  // for it, it is closed or about to be.
   void ReleaseWatch(
       std::unordered_map<curl_socket_t, SocketWatchPtr>::iterator found) {
     const SocketWatchPtr watch = std::move(found->second);
--- a/src/libhost/http_frontend.cc
+++ b/src/libhost/http_frontend.cc
@@ -77,8 +77,8 @@
   size_t unwritten = 0;
 };
 
-// RESTinio writes a shared buffer without copying it, so the body is not
-// copied.
+// A buffer for RESTinio that shares the body. RESTinio writes a shared buffer
+// without copying it.
 class BodyBuffer {
  public:
   explicit BodyBuffer(Body body) : body_(std::move(body)) {}
--- a/testsuite/racing-operators/run.py
+++ b/testsuite/racing-operators/run.py
@@ -1,9 +1,9 @@
 """Two operators concurrently change the same setting through different nodes.
 
 Both send the version that they have read as the expected version. One change is
-accepted, the other gets a conflict. The accepted value reaches every node
-within seconds, and no node ever returns to an older version, however often this
-is repeated.
+accepted, the other gets a conflict with the version in force. The accepted
+value reaches every node within seconds, and no node ever returns to an older
+version, however often this is repeated.
 """
 
 import sys
--- a/testsuite/soak/system.py
+++ b/testsuite/soak/system.py
@@ -22,7 +22,8 @@
          ("d", "deep", None), ("e", "deep", None)]
 
 # Starts all processes. A child is killed when the thread that started it ends
-# (parent death signal), and the threads that inject faults end early.
+# (parent death signal), so that none outlives the harness. The threads that
+# inject faults end early, so they must not start processes themselves.
 _PROCESS_STARTER = concurrent.futures.ThreadPoolExecutor(max_workers=1)
 
 
