--- a/models/claims.pml
+++ b/models/claims.pml
@@ -213,7 +213,7 @@
        :: _pid == 1 -> inbox1?a, flag, inc
        fi;
        if
-       :: flag && inc != incarnation[_pid] /* home gone: "may have run" */
+       :: flag && inc != incarnation[_pid] /* home restarted: "may have run" */
        :: else -> OnRequest(_pid, a, flag)
        fi;
        a = 0; inc = 0; flag = false; i = 0 }
--- a/src/bench/capacity_bench.cc
+++ b/src/bench/capacity_bench.cc
@@ -43,7 +43,9 @@
 }
 
 // Runs `action`, which takes `length` of virtual time, and returns the cost per
-// node and second. Values named "fleet ..." are totals over all nodes.
+// node and second. Values with "fleet" in their name are for all nodes
+// together; values named "peak ..." are the highest within one second, of any
+// one node unless "fleet" is in the name.
 PhaseResult MeasurePhase(const std::string& name, CapacityFleet& fleet,
                          Duration length, const std::function<void()>& action) {
   fleet.TakePeakBytes();
--- a/src/libhost/gossip_socket.h
+++ b/src/libhost/gossip_socket.h
@@ -35,7 +35,7 @@
   uint16_t port() const { return port_; }
 
   // Sends one datagram. Drops it, and counts it as unsent, if it exceeds
-  // kMaxGossipBytes, if the address is not an IP number, or if the kernel does
+  // kMaxGossipBytes, if the address is not an IP address, or if the kernel does
   // not accept it. After Stop() it is dropped without being counted.
   void Send(const Endpoint& to, const GossipMessage& message);
 
--- a/src/libhost/http_client.h
+++ b/src/libhost/http_client.h
@@ -3,7 +3,7 @@
 
 // An HTTP/1.1 client on a given io_context, single-threaded, with pooled
 // connections. It sends a request at most once: libcurl by itself would resend
-// it when a pooled connection dies, so the request could run twice.
+// it when a pooled connection is lost, so the request could run twice.
 
 #include <cstdint>
 #include <functional>
@@ -34,8 +34,8 @@
   // If either lacks the field, or the name is empty, there is no check.
   std::string echoed_field;
   // Accepts a body that is delimited by the orderly end of its connection as
-  // complete. The server must then reset a connection whose answer it breaks
-  // off.
+  // complete. The server must then reset a connection on which it does not
+  // complete its answer.
   bool accept_close_delimited_body = false;
   // A connection, also an idle one, is closed when the remote end has
   // acknowledged nothing for about this long; 0 keeps the defaults of the
--- a/testsuite/lib/faulty_proxy.py
+++ b/testsuite/lib/faulty_proxy.py
@@ -36,7 +36,7 @@
             return len(self._pairs)
 
     def clear_faults(self):
-        """Stops delaying and drop. Resets all connections, as those that
+        """Stops delaying and dropping. Resets all connections, as those that
         lost bytes cannot recover."""
         self.delay = 0.0
         self.drop_to = set()
