--- a/testsuite/lib/calls.py
+++ b/testsuite/lib/calls.py
@@ -127,7 +127,7 @@
     LATE_SECONDS = 0.25
 
     def __init__(self, ports, loads, workers=64):
-        self._ports = ports  # function: returns the caller ports in use
+        self._ports = ports  # function: returns the callers' ports in use
         self._loads = loads
         self._lock = threading.Lock()
         self._stopped = threading.Event()
@@ -135,7 +135,7 @@
         self._next = [0] * len(loads)
         self.late = 0
         self.answers = collections.defaultdict(list)
-        self._tickets = collections.defaultdict(list)  # by caller port
+        self._tickets = collections.defaultdict(list)  # by callers' port
         self._threads = [
             threading.Thread(target=self._run_worker, daemon=True)
             for _ in range(workers)
--- a/testsuite/lib/users_platform.py
+++ b/testsuite/lib/users_platform.py
@@ -133,7 +133,7 @@
 class Worker:
     """A backend server on the host of `node`. If `nested` (host, path) is set,
     it makes that nested call once for each request that it runs, through the
-    caller port of its node."""
+    callers' port of its node."""
 
     def __init__(self, node, service, name, nested=None, slots=4):
         self.service, self.name, self.nested = service, name, nested
