--- a/src/libhost/http_client.cc
+++ b/src/libhost/http_client.cc
@@ -28,7 +28,7 @@
 
 void InitialiseCurl() {
   static const CURLcode result = curl_global_init(CURL_GLOBAL_DEFAULT);
-  if (result != CURLE_OK) throw std::runtime_error("cannot initialise libcurl");
+  if (result != CURLE_OK) throw std::runtime_error("cannot initialize libcurl");
 }
 
 // Returns "http://ip:port", or an empty string unless `to` has an IP address
