--- a/src/include/amaranthroute/policy/admission_queue.h
+++ b/src/include/amaranthroute/policy/admission_queue.h
@@ -113,10 +113,10 @@
 
   /// Returns the number of calls that a server with `slots` slots and a service
   /// time of `service` starts within `max_wait`, but at least `min_places`. A
-  /// fixed capacity of 256 is a wait of only 56 ms with 110 slots and 24 ms of
-  /// service. Where the wait controls admission (see
-  /// ShedderOptions::threshold_from_wait), a smaller queue refuses calls of
-  /// admitted requests before the threshold rises enough.
+  /// fixed capacity of 256, which is enough for 15 slots, is a wait of only 56
+  /// ms with 110 slots and 24 ms of service. Where the wait controls admission
+  /// (see ShedderOptions::threshold_from_wait), a smaller queue refuses calls
+  /// of admitted requests before the threshold rises enough.
   static size_t CapacityForWait(size_t min_places, int slots, Duration service,
                                 Duration max_wait = kMaxControlledWait);
   /// A third more than the wait at which the lowest group of levels is shed
--- a/src/include/amaranthroute/policy/admission_window.h
+++ b/src/include/amaranthroute/policy/admission_window.h
@@ -36,8 +36,8 @@
   double late_fraction = 0.8;
   /// Minimum wait, as a fraction of the latency target, for a late or failed
   /// request to count as overload. Admitting fewer requests does not shorten a
-  /// long service time. Also the minimum fraction of the latency of recent
-  /// requests spent waiting for CanShrink().
+  /// long service time. CanShrink() also requires that recent requests spent at
+  /// least this fraction of their latency waiting.
   double min_wait_fraction = 0.2;
   /// Factor on the window for one such request. A step takes effect only after
   /// the latency of a whole request; with smaller steps a surge of several
--- a/src/include/amaranthroute/policy/caller_shares.h
+++ b/src/include/amaranthroute/policy/caller_shares.h
@@ -32,8 +32,8 @@
   /// callers differ by chance and must not lose levels.
   static constexpr double kTolerance = 1.5;
   /// Maximum number of callers counted in a window, which bounds the memory
-  /// whatever caller names are sent. Further callers are not counted and
-  /// keep a weight of 1.
+  /// whatever caller names are sent. Further callers are not counted in
+  /// it; a caller without counts has a weight of 1.
   static constexpr size_t kMaxCallers = 5000;
 
   /// Records a request of `caller`.
--- a/src/include/amaranthroute/policy/concurrency_limit.h
+++ b/src/include/amaranthroute/policy/concurrency_limit.h
@@ -73,7 +73,7 @@
   Duration recheck_period = std::chrono::seconds(2);
 };
 
-/// The concurrency limit of one backend server. Samples must come from ordinary
+/// The concurrency limit of one backend server. Samples must come from short
 /// calls: long work is limited by LongWorkShare and would distort the latency.
 class ConcurrencyLimit {
  public:
@@ -86,7 +86,7 @@
   /// Sets the number of long-work calls in the server. They hold their slots
   /// however low the limit is, so the limit always leaves room for one more
   /// call, and no trial starts while they are many: a cut could leave no slot
-  /// for ordinary calls, and without samples the trial would never end.
+  /// for short calls, and without samples the trial would never end.
   void SetLongInFlight(int long_in_flight);
 
   /// Sets the number of slots that the server announced.
@@ -143,7 +143,7 @@
   int trial_cuts_ = 0;
   double gain_log_odds_ = 0;  // of the trial, see GainLogLikelihoodRatio
   bool is_recheck_ = false;   // the trial checks the baseline
-  double knee_ = 0;           // limit below which cuts had no gain; 0: unknown
+  double knee_ = 0;           // limit at which the last cuts ended; 0: unknown
   int calm_windows_ = 0;
 };
 
--- a/src/include/amaranthroute/policy/crash_guard.h
+++ b/src/include/amaranthroute/policy/crash_guard.h
@@ -25,8 +25,8 @@
 
 /// Bounds of a CrashGuard.
 struct CrashGuardOptions {
-  /// Time after its last crash at which a suspect expires; crashes further
-  /// apart are not combined.
+  /// Time after its last crash, or the last report of another node, at which a
+  /// suspect expires; crashes further apart are not combined.
   Duration suspicion = std::chrono::minutes(10);
   /// Time after which a quarantine ends: the servers may have been fixed, and a
   /// wrong decision must not be permanent.
--- a/src/include/amaranthroute/policy/server_picker.h
+++ b/src/include/amaranthroute/policy/server_picker.h
@@ -35,12 +35,14 @@
   uint32_t in_flight = 0;  ///< own calls, or an estimate from the load report
   uint32_t limit = 0;      ///< from the load report; 0 unknown
   uint32_t queued = 0;     ///< from the load report
-  Duration latency{0};     ///< moving average; 0 unknown
+  /// Moving average of own calls, or an estimate from the load report; 0
+  /// unknown.
+  Duration latency{0};
   /// Factor on the expected wait, from the verdict of the serving node; 1 if
   /// healthy.
   double penalty = 1.0;
   bool local = true;      ///< in the entry node's data centre
-  double weight = 1.0;    ///< slow start, 0 to 1; less than 0.01 counts as 0.01
+  double weight = 1.0;    ///< ramp-up, 0 to 1; less than 0.01 counts as 0.01
   bool ejected = false;   ///< by OutlierDetector
   bool suspect = false;   ///< its node is suspect or unreachable
   bool excluded = false;  ///< attempted already, or would shed the call
--- a/src/include/amaranthroute/policy/shedder.h
+++ b/src/include/amaranthroute/policy/shedder.h
@@ -60,9 +60,9 @@
   /// waits for all others. With a lower target a server with few slots runs out
   /// of calls by chance; with a higher one overload is detected later.
   Duration target_delay = std::chrono::milliseconds(80);
-  /// Minimum of the target, in typical service times. With few slots a call may
-  /// have to wait for another one to end, which takes half of this: 200 ms at a
-  /// service time of 200 ms.
+  /// Minimum of the target, in typical service times. With 10 slots and a
+  /// service time of 200 ms, the wait of one call for another to end may
+  /// already take half of this.
   double target_service_times = 2.0;
   /// Shortest window. Allows ten decisions within the recovery target of one
   /// second.
--- a/src/include/amaranthroute/policy/slot_search.h
+++ b/src/include/amaranthroute/policy/slot_search.h
@@ -51,7 +51,7 @@
   Duration max_recheck_interval = std::chrono::seconds(30);
 };
 
-/// Concurrency limit of one backend server.
+/// Searches for the concurrency limit of one backend server.
 class SlotSearch {
  public:
   explicit SlotSearch(SlotSearchOptions options = {});
--- a/src/libpolicy/admission_queue_test.cc
+++ b/src/libpolicy/admission_queue_test.cc
@@ -53,8 +53,8 @@
     std::vector<QueuedCall> evicted;
     const PushResult result = queue.Push(call, now, evicted);
     ExpectRemoved(evicted);
-    // After a refusal or an eviction no less important call that competes for
-    // the same places is waiting.
+    // No call of a lower tier than a refused or evicted one that competes for
+    // the same places is left waiting.
     Tier min_tier_waiting = Tier::kBackground;
     if (result == PushResult::kFull) min_tier_waiting = call.tier;
     for (const QueuedCall& victim : evicted) {
--- a/src/libpolicy/admission_window.cc
+++ b/src/libpolicy/admission_window.cc
@@ -5,7 +5,8 @@
 namespace amaranth {
 namespace {
 
-// A limit over this many times the requests in flight is removed.
+// A limit over this many times the requests in flight restricts nothing. It is
+// removed if it also exceeds the limit before the last shrink.
 constexpr double kUnusedLimitFactor = 2.0;
 // Weight of a new request in the wait share; the average covers about the last
 // ten requests.
--- a/src/libpolicy/concurrency_limit.cc
+++ b/src/libpolicy/concurrency_limit.cc
@@ -12,8 +12,9 @@
 // Latency, in baselines, up to which the server has no queue and the limit
 // increases by ConcurrencyLimitOptions::increase.
 constexpr double kNoQueueFactor = 1.15;
-// Latency, in baselines, at which no further cut is made: fewer than one call
-// in four waits inside the server.
+// Latency, in baselines, up to which a successful trial is not followed by
+// another cut unless it was a recheck: fewer than one call in four waits inside
+// the server.
 constexpr double kAtKneeFactor = 1.3;
 // Increase of the limit, at least one slot, while the latency is between
 // kNoQueueFactor and the tolerance, or the limit has reached the last knee.
--- a/src/libpolicy/server_picker_test.cc
+++ b/src/libpolicy/server_picker_test.cc
@@ -88,8 +88,8 @@
   CHECK(RemoteShare({ejected, free_remote}) == 1.0);
 }
 
-// Guards against a server that has just announced itself and is flooded by all
-// entry nodes at once, since it has nothing in flight, while its caches are
+// Guards against a server that has just announced itself and is overloaded by
+// all entry nodes at once, since it has nothing in flight, while its caches are
 // cold.
 TEST(ServerPickerTest, ColdServerGetsAShareByItsWeight) {
   std::vector<ServerView> servers(3, MakeServer(5, true));
--- a/src/libpolicy/shedder.cc
+++ b/src/libpolicy/shedder.cc
@@ -10,7 +10,7 @@
 
 // Makes the level independent of other hashes of the request id.
 constexpr uint64_t kLevelSeed = 0x5ed1e7e1;
-// Delay, in multiples of the target, from which severe_decrease applies.
+// Delay, in multiples of the target, above which severe_decrease applies.
 constexpr double kSevereOverload = 3.0;
 // Limits the doubling of idle_increase: admitting more than 1.8 times the
 // capacity in one window would cause the next overload.
