--- a/src/include/amaranthroute/policy/concurrency_limit.h
+++ b/src/include/amaranthroute/policy/concurrency_limit.h
@@ -144,7 +144,7 @@
   double gain_log_odds_ = 0;  // of the trial, see GainLogLikelihoodRatio
   bool is_recheck_ = false;   // the trial checks the baseline
   double knee_ = 0;           // limit at which the last cuts ended; 0: unknown
-  int calm_windows_ = 0;
+  int no_queue_windows_ = 0;
 };
 
 }  // namespace amaranth
--- a/src/libpolicy/concurrency_limit.cc
+++ b/src/libpolicy/concurrency_limit.cc
@@ -33,7 +33,7 @@
 constexpr double kBaselineUp = 0.02;
 // Consecutive windows without a queue at or above the last knee after which the
 // knee is considered to have moved.
-constexpr int kCalmWindows = 5;
+constexpr int kNoQueueWindows = 5;
 // Time, in mean latencies, during which samples are ignored after a cut, until
 // the calls from before it have ended. After 2 an eighth of them, the slowest
 // ones, remain and hide the gain of the cut.
@@ -168,11 +168,11 @@
   }
   if (!in_use) return;
   // At or above the last knee the limit increases slowly, so that it stays near
-  // the knee most of the time. kCalmWindows windows without a queue show that
-  // the knee has moved.
+  // the knee most of the time. kNoQueueWindows windows without a queue show
+  // that the knee has moved.
   const bool past_knee = knee_ > 0 && limit_ >= knee_;
-  calm_windows_ = past_knee && no_queue ? calm_windows_ + 1 : 0;
-  if (calm_windows_ >= kCalmWindows) knee_ = 0;
+  no_queue_windows_ = past_knee && no_queue ? no_queue_windows_ + 1 : 0;
+  if (no_queue_windows_ >= kNoQueueWindows) knee_ = 0;
   const double slow_step = std::max(1.0, kSlowIncrease * limit_);
   const double fast_step = std::max(1.0, (options_.increase - 1) * limit_);
   SetLimit(limit_ + (no_queue && !past_knee ? fast_step : slow_step));
