--- a/src/include/amaranthroute/policy/admission_queue.h
+++ b/src/include/amaranthroute/policy/admission_queue.h
@@ -54,11 +54,12 @@
   bool long_work = false;
   TimePoint enqueued{};
   TimePoint deadline = kNever;
-  /// Typical service time of calls of this kind, 0 if unknown. With less than
-  /// that left before its deadline the call is dropped. This is not the
-  /// server's mean over all kinds: beside calls of one second, every call with
-  /// half a second to its deadline would be refused on arrival, and because
-  /// refusing is quick, the server would appear idle and attract all calls.
+  /// Expected service time of calls of this kind, nested calls included; 0 if
+  /// unknown. With less than that left before its deadline the call is dropped.
+  /// This is not the server's mean over all kinds: beside calls of one second,
+  /// every call with half a second to its deadline would be refused on arrival,
+  /// and because refusing is quick, the server would appear idle and attract
+  /// all calls.
   Duration expected{0};
 
   friend bool operator==(const QueuedCall& a, const QueuedCall& b) {
--- a/src/include/amaranthroute/policy/server_picker.h
+++ b/src/include/amaranthroute/policy/server_picker.h
@@ -16,9 +16,9 @@
 /// (in flight + queued + 1) / limit * latency * penalty, from the entry node's
 /// own calls and the load reports of serving nodes; the servers' health and
 /// load endpoints are not used. Local servers come first while one of them has
-/// a free slot. When all are full, at most `spill_share` of the calls go to
-/// other data centres, so that a surge in one data centre takes a bounded part
-/// of the others.
+/// a free slot. When all are at capacity, at most `spill_share` of the calls go
+/// to other data centres, so that a surge in one data centre takes a bounded
+/// part of the others.
 
 #include <cstddef>
 #include <cstdint>
@@ -51,10 +51,10 @@
 /// Limits of the selection.
 struct PickOptions {
   /// Fraction of the calls that may leave the data centre while its servers are
-  /// usable but full. With 0.2, a data centre with an offered load of twice its
-  /// capacity sends 0.4 of its capacity to all others together. From 1.0 on,
-  /// full local servers and remote ones are compared by their expected wait
-  /// instead.
+  /// usable but at capacity. With 0.2, a data centre with an offered load of
+  /// twice its capacity sends 0.4 of its capacity to all others together.
+  /// From 1.0 on, local servers at capacity and remote ones are compared by
+  /// their expected wait instead.
   double spill_share = 0.2;
 };
 
--- a/src/include/amaranthroute/policy/shedder.h
+++ b/src/include/amaranthroute/policy/shedder.h
@@ -60,7 +60,7 @@
   /// waits for all others. With a lower target a server with few slots runs out
   /// of calls by chance; with a higher one overload is detected later.
   Duration target_delay = std::chrono::milliseconds(80);
-  /// Minimum of the target, in typical service times. With 10 slots and a
+  /// Minimum of the target, in expected service times. With 10 slots and a
   /// service time of 200 ms, the wait of one call for another to end may
   /// already take half of this.
   double target_service_times = 2.0;
@@ -129,8 +129,9 @@
   /// started call: with newest-first order and tiers that wait stays short in
   /// any overload, and nothing would be shed.
   void OnQueueDelay(Duration delay, TimePoint now);
-  /// Sets the typical service time of a call. The target is at least
-  /// ShedderOptions::target_service_times times this value.
+  /// Sets the expected service time of a call, nested calls included. A wait of
+  /// ShedderOptions::target_service_times times this value is normal, so the
+  /// target is at least that.
   void OnServiceTime(Duration service);
   /// Records that a slot is free and no call waits.
   void OnIdle(TimePoint now);
@@ -167,7 +168,7 @@
   Window window_;
   double demand_rate_ = 0;       // arrivals per second
   double capacity_ = 0;          // starts per second
-  double service_ = 0;           // typical service time in microseconds
+  double service_ = 0;           // expected service time in microseconds
   bool was_overloaded_ = false;  // in the last window
   int idle_windows_ = 0;         // consecutive
   uint32_t threshold_ = 0;
--- a/src/libpolicy/server_picker.cc
+++ b/src/libpolicy/server_picker.cc
@@ -15,9 +15,10 @@
 // Concurrency limit assumed for a server that has not reported one.
 constexpr double kAssumedLimit = 10;
 
-// A remote server is selected over a full local one only if its expected wait,
-// times the factor and plus the constant, is still shorter. 20 ms is the wait
-// for two calls in turn at a server of short calls, which any burst causes.
+// A remote server is selected over a local one at capacity only if its expected
+// wait, times the factor and plus the constant, is still shorter. 20 ms is the
+// wait for two calls in turn at a server of short calls, which any burst
+// causes.
 constexpr double kRemoteFactor = 1.5;
 constexpr double kRemoteExtraMicros = 20'000;
 
@@ -30,7 +31,7 @@
 }
 
 // Whether the next call at `server` would be queued.
-bool IsFull(const ServerView& server) {
+bool IsAtCapacity(const ServerView& server) {
   if (server.queued > 0) return true;
   return server.in_flight + 1.0 > LimitOf(server) * WeightOf(server);
 }
@@ -91,7 +92,7 @@
   return found;
 }
 
-bool HasFreeSlot(const ServerView& server) { return !IsFull(server); }
+bool HasFreeSlot(const ServerView& server) { return !IsAtCapacity(server); }
 bool IsLocal(const ServerView& server) { return server.local; }
 bool IsRemote(const ServerView& server) { return !server.local; }
 bool IsUsable(const ServerView& server) {
@@ -108,13 +109,13 @@
   return found;
 }
 
-// Returns `with_free_slot` and those full servers of `all` whose expected wait
-// is shorter than that of each of them. A free slot of a server at a tenth of
-// the speed is worth less than a short wait at another one, and would attract
-// every call that the others cannot run at once.
-Indexes AddFasterFullServers(const std::vector<ServerView>& servers,
-                             const Indexes& with_free_slot,
-                             const Indexes& all) {
+// Returns `with_free_slot` and those servers of `all` at capacity whose
+// expected wait is shorter than that of each of them. A free slot of a server
+// at a tenth of the speed is worth less than a short wait at another one, and
+// would attract every call that the others cannot run at once.
+Indexes AddFasterServersAtCapacity(const std::vector<ServerView>& servers,
+                                   const Indexes& with_free_slot,
+                                   const Indexes& all) {
   const double latency = DefaultLatency(servers);
   double shortest_wait = ExpectedWait(servers[with_free_slot.front()], latency);
   for (const size_t index : with_free_slot) {
@@ -131,12 +132,12 @@
   return chosen;
 }
 
-// Selects a server when the spill is unlimited and all local servers are full.
-// Local servers alone are not enough: as servers differ more than callers do,
-// the queue of a slow local server would grow without bound next to the short
-// queue of a fast remote one. A remote server must be clearly better, as
-// traffic between data centres is expensive and load reports are as old as the
-// last answer.
+// Selects a server when the spill is unlimited and all local servers are at
+// capacity. Local servers alone are not enough: as servers differ more than
+// callers do, the queue of a slow local server would grow without bound next to
+// the short queue of a fast remote one. A remote server must be clearly better,
+// as traffic between data centres is expensive and load reports are as old as
+// the last answer.
 size_t PickLocalOrFasterRemote(const std::vector<ServerView>& servers,
                                const Indexes& local, const Indexes& remote,
                                std::mt19937_64& random) {
@@ -167,7 +168,8 @@
   if (!unpenalized.empty()) local_free = unpenalized;
   if (!local_free.empty()) {
     return PickBetterOfTwo(
-        servers, AddFasterFullServers(servers, local_free, local), random);
+        servers, AddFasterServersAtCapacity(servers, local_free, local),
+        random);
   }
   if (options.spill_share >= 1.0) {
     return PickLocalOrFasterRemote(servers, local, remote, random);
--- a/src/libpolicy/server_picker_test.cc
+++ b/src/libpolicy/server_picker_test.cc
@@ -131,8 +131,8 @@
 }
 
 // Guards against most failures falling on the data centre with the slow server:
-// if all servers are full and each data centre keeps its calls, the slow server
-// gets the same share of them as a fast one.
+// if all servers are at capacity and each data centre keeps its calls, the slow
+// server gets the same share of them as a fast one.
 TEST(ServerPickerTest, ComparesFullServersOfAllDataCentresByExpectedWait) {
   ServerView slow;
   slow.limit = 15;
