--- a/src/include/amaranthroute/policy/server_picker.h
+++ b/src/include/amaranthroute/policy/server_picker.h
@@ -16,9 +16,9 @@
 /// (in flight + queued + 1) / limit * latency * penalty, from the entry node's
 /// own calls and the load reports of serving nodes; the servers' health and
 /// load endpoints are not used. Local servers come first while one of them has
-/// a free slot. When all are full, at most `spill_share` of the calls go to
-/// other data centres, so that a surge in one data centre takes a bounded part
-/// of the others.
+/// a free slot. When all are at capacity, at most `spill_share` of the calls go
+/// to other data centres, so that a surge in one data centre takes a bounded
+/// part of the others.
 
 #include <cstddef>
 #include <cstdint>
@@ -35,12 +35,14 @@
   uint32_t in_flight = 0;  ///< own calls, or an estimate from the load report
   uint32_t limit = 0;      ///< from the load report; 0 unknown
   uint32_t queued = 0;     ///< from the load report
-  Duration latency{0};     ///< moving average; 0 unknown
+  /// Moving average of own calls, or an estimate from the load report; 0
+  /// unknown.
+  Duration latency{0};
   /// Factor on the expected wait, from the verdict of the serving node; 1 if
   /// healthy.
   double penalty = 1.0;
   bool local = true;      ///< in the entry node's data centre
-  double weight = 1.0;    ///< slow start, 0 to 1; less than 0.01 counts as 0.01
+  double weight = 1.0;    ///< ramp-up, 0 to 1; less than 0.01 counts as 0.01
   bool ejected = false;   ///< by OutlierDetector
   bool suspect = false;   ///< its node is suspect or unreachable
   bool excluded = false;  ///< attempted already, or would shed the call
@@ -49,10 +51,10 @@
 /// Limits of the selection.
 struct PickOptions {
   /// Fraction of the calls that may leave the data centre while its servers are
-  /// usable but full. With 0.2, a data centre with an offered load of twice its
-  /// capacity sends 0.4 of its capacity to all others together. From 1.0 on,
-  /// full local servers and remote ones are compared by their expected wait
-  /// instead.
+  /// usable but at capacity. With 0.2, a data centre with an offered load of
+  /// twice its capacity sends 0.4 of its capacity to all others together.
+  /// From 1.0 on, local servers at capacity and remote ones are compared by
+  /// their expected wait instead.
   double spill_share = 0.2;
 };
 
--- a/src/libpolicy/server_picker_test.cc
+++ b/src/libpolicy/server_picker_test.cc
@@ -88,8 +88,8 @@
   CHECK(RemoteShare({ejected, free_remote}) == 1.0);
 }
 
-// Guards against a server that has just announced itself and is flooded by all
-// entry nodes at once, since it has nothing in flight, while its caches are
+// Guards against a server that has just announced itself and is overloaded by
+// all entry nodes at once, since it has nothing in flight, while its caches are
 // cold.
 TEST(ServerPickerTest, ColdServerGetsAShareByItsWeight) {
   std::vector<ServerView> servers(3, MakeServer(5, true));
@@ -131,8 +131,8 @@
 }
 
 // Guards against most failures falling on the data centre with the slow server:
-// if all servers are full and each data centre keeps its calls, the slow server
-// gets the same share of them as a fast one.
+// if all servers are at capacity and each data centre keeps its calls, the slow
+// server gets the same share of them as a fast one.
 TEST(ServerPickerTest, ComparesFullServersOfAllDataCentresByExpectedWait) {
   ServerView slow;
   slow.limit = 15;
