--- a/src/include/amaranthroute/event_log.h
+++ b/src/include/amaranthroute/event_log.h
@@ -6,9 +6,9 @@
 /// The first line holds the identity of the node. Each further line holds an
 /// event and the digest of the effects that it caused. The reducer is
 /// deterministic, so a replay yields the same digests and can be inspected step
-/// by step. A digest differs if the build or the log is another, or if the
-/// effects depend on the operator token or DeploymentRules, which the log does
-/// not hold.
+/// by step. A digest differs if another build recorded the log, if the log was
+/// changed, or if the effects depend on the operator token or DeploymentRules,
+/// which the log does not hold.
 
 #include <cstdint>
 #include <iosfwd>
--- a/src/include/amaranthroute/messages.h
+++ b/src/include/amaranthroute/messages.h
@@ -36,7 +36,8 @@
   std::string service;  ///< service called in this hop
   std::string request_class;
   std::string tenant;
-  std::string caller_key;  ///< identifies the caller for fair sharing
+  /// Identifies the caller for fair sharing within a service and tier.
+  std::string caller_key;
   Tier tier = Tier::kStandard;
   bool idempotent = false;
   bool long_work = false;
--- a/src/include/amaranthroute/verdict.h
+++ b/src/include/amaranthroute/verdict.h
@@ -15,7 +15,7 @@
 /// uncertainty.
 enum class Verdict {
   /// Certain: the request was never sent, or the only node that had it
-  /// discarded it.
+  /// discarded it for good, without running it.
   kNotRun,
   /// It may or may not have run. Not retried if non-idempotent.
   kMayHaveRun,
--- a/src/libnode/membership/membership.cc
+++ b/src/libnode/membership/membership.cc
@@ -25,9 +25,10 @@
                      });
 }
 
-// Returns true if the change makes a server of the member unavailable for new
-// work: the member left or is dead, or a server was removed, drains or became
-// unhealthy.
+// Returns true if the member has just left, or if one of its servers no longer
+// takes new work: the member is dead, or the server was removed, drains or
+// became unhealthy. Work moves away from an unhealthy server only as far as
+// others have room for it.
 bool StopsNewWork(const MemberRecord& before, const MemberRecord& after) {
   if (before.state != MemberState::kLeft && after.state == MemberState::kLeft) {
     return true;
--- a/src/libnode/membership/membership_dissemination.cc
+++ b/src/libnode/membership/membership_dissemination.cc
@@ -206,7 +206,7 @@
 // Each second, delegates ping a delegate of each other data centre, whose ack
 // carries its table hash; only a difference costs a sync. If a data centre is
 // unresponsive, any of its members may be pinged, in case all delegates known
-// here have been replaced.
+// here are down for good.
 void Membership::ContactDataCentres(Context& context) {
   const std::vector<std::string> own = DelegatesOf(identity_.data_centre);
   if (std::find(own.begin(), own.end(), identity_.node.name) == own.end()) {
--- a/src/libnode/membership/membership_limits.h
+++ b/src/libnode/membership/membership_limits.h
@@ -21,10 +21,10 @@
 inline constexpr size_t kIndirectProbes = 3;
 inline constexpr Duration kRelayTimeout = std::chrono::seconds(1);
 
-// With a timer that fires this late, acks may be unread in the socket. The open
+// If a timer fires this late, acks may be unread in the socket. The open
 // probe is dropped: a node short of CPU time must not suspect others.
 inline constexpr Duration kStarvedTimerDelay = std::chrono::milliseconds(100);
-// With a timer that fires this late, the process was paused, and others may
+// If a timer fires this late, the process was paused, and others may
 // have declared it dead meanwhile.
 inline constexpr Duration kPausedTimerDelay = std::chrono::milliseconds(1500);
 
@@ -34,14 +34,15 @@
 inline constexpr double kSuspicionFactor = 5.0;
 inline constexpr Duration kMinSuspicionTimeout = std::chrono::seconds(3);
 
-// Records of dead and departed members are kept as tombstones, so that a
+// Records of members that died or left are kept as tombstones, so that a
 // delayed "alive" record does not bring them back. Ten minutes outlast any
-// record in transit. A member that a node cut off for longer brings back is
-// detected as dead again by probes.
+// record in transit. A node that was cut off for longer may still bring such a
+// member back; probes then detect it as dead again.
 inline constexpr Duration kTombstoneRetention = std::chrono::minutes(10);
 
-// A member that left or died is pinged for this long, in case it restarts. A
-// planned restart takes seconds, about ten with a drain before it.
+// A member that left or died is pinged in each period for this long, by a few
+// nodes chosen at random, in case it restarts. A planned restart takes seconds,
+// about ten with a drain before it.
 inline constexpr Duration kReturnPingTime = std::chrono::seconds(30);
 
 // Changes that stop new work are pushed on at once by each node that learns of
@@ -66,8 +67,8 @@
 inline constexpr size_t kSyncBytesPerSecond = 8 * 1024;
 inline constexpr size_t kSyncBurst = 24 * 1024;
 inline constexpr size_t kMaxSyncBytes = 12 * 1024;
-// Syncs are not answered with less budget than this: the records would not be
-// worth the digest that goes with them.
+// A sync is not answered if less than this is left of the byte rate: the few
+// records would not be worth the digest that is sent with them.
 inline constexpr size_t kMinSyncBytes = 2 * 1024;
 inline constexpr int kSyncAnswersPerPeriod = 3;
 inline constexpr Duration kJoinSyncInterval = std::chrono::milliseconds(250);
--- a/src/libnode/membership/membership_table.h
+++ b/src/libnode/membership/membership_table.h
@@ -70,9 +70,9 @@
   bool IsServiceKnown(const std::string& service) const;
   std::set<std::string> DataCentres() const;
 
-  // Returns a hash that is equal for equal tables. Dead and departed members
-  // are left out, since nodes forget them at different times; suspicion is left
-  // out because it is short-lived.
+  // Returns a hash that is equal for equal tables. Members that died or
+  // left are not included, since nodes forget them at different times;
+  // suspicion is not included because it is short-lived.
   uint64_t hash() const { return hash_; }
   std::vector<uint32_t> BucketHashes() const;
   // Returns the records in the buckets whose hash differs from `theirs`, or all
--- a/src/libnode/membership/membership_updates.cc
+++ b/src/libnode/membership/membership_updates.cc
@@ -14,8 +14,9 @@
 constexpr size_t kQuarantineOverhead = 24;
 constexpr double kTransmissionsPerLog = 4.0;
 constexpr size_t kMaxQuarantines = 1024;
-// Limit how long requests are refused after the service was fixed, or a
-// fingerprint wrongly suspected. The same times as in CrashGuard.
+// Limit how long requests are still refused after an operator has fixed the
+// service, or if a fingerprint was wrongly suspected. The same times as in
+// CrashGuard.
 constexpr Duration kSuspectLifetime = std::chrono::minutes(10);
 constexpr Duration kQuarantineLifetime = std::chrono::minutes(30);
 
--- a/src/libnode/settings/settings_store.cc
+++ b/src/libnode/settings/settings_store.cc
@@ -49,10 +49,11 @@
 constexpr Duration kRequestInterval = std::chrono::milliseconds(300);
 constexpr size_t kPeersPerRequest = 3;
 constexpr size_t kMaxPeers = 16;
-// At a start without the platform: the time, from the first peer's snapshot, to
-// wait for snapshots of other peers, and the longest time to wait for the
-// snapshot of a newer version that a peer reports.
+// A node that starts without the platform waits this long, from the first
+// peer's snapshot, for the snapshots of other peers.
 constexpr Duration kPeerWait = std::chrono::milliseconds(500);
+// If a peer reports a version newer than those snapshots, it waits up to this
+// long, also from the first snapshot, for the newer one.
 constexpr Duration kNewerVersionWait = std::chrono::seconds(3);
 
 constexpr size_t kMaxQueuedChanges = 16;
--- a/src/libnode/settings/settings_store.h
+++ b/src/libnode/settings/settings_store.h
@@ -28,7 +28,7 @@
   SettingsStore(const SettingsStore&) = delete;
   SettingsStore& operator=(const SettingsStore&) = delete;
 
-  // Returns the live nodes of this data centre, including this one. The
+  // Returns the nodes of this data centre that are up, including this one. The
   // delegates that poll the platform's head, and the watchers, are chosen from
   // them by hash.
   std::function<std::vector<std::string>()> up_in_data_centre;
