--- a/src/libnode/fakes/fake_fleet.h
+++ b/src/libnode/fakes/fake_fleet.h
@@ -84,7 +84,7 @@
   FakeFleet(const FakeFleet&) = delete;
   FakeFleet& operator=(const FakeFleet&) = delete;
 
-  // Nodes and servers are named; servers live on their node's host.
+  // Nodes and servers are named; servers run on their node's host.
   void AddNode(const std::string& name, const std::string& data_centre,
                bool use_platform = false);
   void AddServer(const std::string& node, FakeServerOptions options);
--- a/src/libnode/fakes/fake_servers.cc
+++ b/src/libnode/fakes/fake_servers.cc
@@ -99,15 +99,15 @@
     server->running.push_back(running);
     const std::vector<Header>& headers = running->request.headers;
     running->run_index = runs_.size();
-    const FakeServerRun effect{
+    const FakeServerRun run{
         now_,
         server->options.name,
         server->options.service,
         std::string(FindHeader(headers, "X-Amaranth-Request-Id")),
         std::string(FindHeader(headers, "Idempotency-Key")),
         false};
-    if (on_run) on_run(effect);
-    if (keeps_history_) runs_.push_back(effect);
+    if (on_run) on_run(run);
+    if (keeps_history_) runs_.push_back(run);
     const std::string& crash = server->options.crash_body;
     if (!crash.empty() && running->request.body.view() == crash) {
       CrashServer(server);
--- a/src/libnode/fakes/membership_fleet.h
+++ b/src/libnode/fakes/membership_fleet.h
@@ -48,7 +48,7 @@
   bool check_versions = true;
   int deaths_declared = 0;
   // False once any node's record of a member went back to an earlier version.
-  bool versions_rose = true;
+  bool versions_monotonic = true;
 
   Host& Add(const std::string& name, const std::string& data_centre,
             const std::vector<std::string>& seeds = {}) {
@@ -282,7 +282,7 @@
       const std::pair<uint64_t, uint64_t> version(record.node.incarnation,
                                                   record.version);
       auto& seen = host.seen_versions[name];
-      if (version < seen) versions_rose = false;
+      if (version < seen) versions_monotonic = false;
       seen = version;
     }
   }
--- a/src/libnode/membership/membership_limits.h
+++ b/src/libnode/membership/membership_limits.h
@@ -67,7 +67,7 @@
 inline constexpr size_t kSyncBytesPerSecond = 8 * 1024;
 inline constexpr size_t kSyncBurst = 24 * 1024;
 inline constexpr size_t kMaxSyncBytes = 12 * 1024;
-// A sync is not answered if less than this is left of the byte rate: the few
+// A sync is not answered if less than this is left in the byte budget: the few
 // records would not be worth the digest that is sent with them.
 inline constexpr size_t kMinSyncBytes = 2 * 1024;
 inline constexpr int kSyncAnswersPerPeriod = 3;
--- a/src/libnode/membership/membership_property_test.cc
+++ b/src/libnode/membership/membership_property_test.cc
@@ -109,7 +109,7 @@
     const bool converged = fleet.RunUntil(
         [&] { return fleet.ViewsMatchRunningNodes(); }, seconds(90));
     RC_ASSERT(converged);
-    RC_ASSERT(fleet.versions_rose);
+    RC_ASSERT(fleet.versions_monotonic);
   }));
 }
 
--- a/src/libnode/membership/membership_test.cc
+++ b/src/libnode/membership/membership_test.cc
@@ -172,7 +172,7 @@
   }
   CHECK(suspicions > 0);
   CHECK_EQUAL(0, fleet.deaths_declared);
-  CHECK(fleet.versions_rose);
+  CHECK(fleet.versions_monotonic);
 }
 
 // Guards against a resumed process that declares its peers dead. It is paused
