--- a/src/libwire/amaranth.thrift
+++ b/src/libwire/amaranth.thrift
@@ -1,12 +1,11 @@
-// Messages between nodes, in Thrift's compact protocol. A payload is one
-// Envelope followed by the struct that its kind names.
+// What nodes say to each other, compact protocol. A payload is one Envelope
+// followed by the struct that its kind names.
 //
-// Thrift has no unsigned integers: a u64 is sent as the i64 with the same bits.
-// Narrower numbers are sent as a wider type and range-checked by the receiver.
-// Enumerations are sent as i32 and checked likewise, so that an unknown value
-// is rejected before it becomes an enum. The fields of the first version are
-// required. Fields added later must be optional, or the protocol version must
-// be raised.
+// Thrift has no unsigned integers: u64 travels as the i64 with the same bits,
+// narrower ones as a wider type and are range-checked on arrival, as are
+// enumerations, which travel as i32 so that an unknown value is refused before
+// it becomes an enum. The first version's fields are required. Later ones must
+// be optional, or the protocol version must rise.
 
 namespace cpp amaranth.wire
 
