--- a/src/include/amaranthroute/policy/admission_queue.h
+++ b/src/include/amaranthroute/policy/admission_queue.h
@@ -54,11 +54,12 @@
   bool long_work = false;
   TimePoint enqueued{};
   TimePoint deadline = kNever;
-  /// Typical service time of calls of this kind, 0 if unknown. With less than
-  /// that left before its deadline the call is dropped. This is not the
-  /// server's mean over all kinds: beside calls of one second, every call with
-  /// half a second to its deadline would be refused on arrival, and because
-  /// refusing is quick, the server would appear idle and attract all calls.
+  /// Expected service time of calls of this kind, nested calls included; 0 if
+  /// unknown. With less than that left before its deadline the call is dropped.
+  /// This is not the server's mean over all kinds: beside calls of one second,
+  /// every call with half a second to its deadline would be refused on arrival,
+  /// and because refusing is quick, the server would appear idle and attract
+  /// all calls.
   Duration expected{0};
 
   friend bool operator==(const QueuedCall& a, const QueuedCall& b) {
@@ -113,10 +114,10 @@
 
   /// Returns the number of calls that a server with `slots` slots and a service
   /// time of `service` starts within `max_wait`, but at least `min_places`. A
-  /// fixed capacity of 256 is a wait of only 56 ms with 110 slots and 24 ms of
-  /// service. Where the wait controls admission (see
-  /// ShedderOptions::threshold_from_wait), a smaller queue refuses calls of
-  /// admitted requests before the threshold rises enough.
+  /// fixed capacity of 256, which is enough for 15 slots, is a wait of only 56
+  /// ms with 110 slots and 24 ms of service. Where the wait controls admission
+  /// (see ShedderOptions::threshold_from_wait), a smaller queue refuses calls
+  /// of admitted requests before the threshold rises enough.
   static size_t CapacityForWait(size_t min_places, int slots, Duration service,
                                 Duration max_wait = kMaxControlledWait);
   /// A third more than the wait at which the lowest group of levels is shed
