--- a/src/bench/policy_run.cc
+++ b/src/bench/policy_run.cc
@@ -207,7 +207,7 @@
     const size_t id = found->second;
     request_by_call_.erase(found);
     Request& request = requests_[id];
-    const bool in_time = answer.at - answer.asked <= kDeadline;
+    const bool in_time = answer.at - answer.sent_at <= kDeadline;
     if (answer.response.status == 200 && in_time) {
       request.good = true;
       request.finished = true;
--- a/src/libnode/calls_test.cc
+++ b/src/libnode/calls_test.cc
@@ -168,7 +168,7 @@
   STRCMP_EQUAL("may-have-run", keyed.Verdict().c_str());
   STRCMP_EQUAL("platform-down", keyed.Reason().c_str());
   CHECK(!FindHeader(keyed.response.headers, "Retry-After").empty());
-  CHECK(keyed.at - keyed.asked < std::chrono::milliseconds(200));
+  CHECK(keyed.at - keyed.sent_at < std::chrono::milliseconds(200));
   for (int resend = 0; resend < 2; ++resend) {
     const FakeAnswer ticketed = AnswerTo(
         "a2", MakeRequest("POST", "subscriptions", "renewal", "r2", ticket));
--- a/src/libnode/fakes/fake_fleet.cc
+++ b/src/libnode/fakes/fake_fleet.cc
@@ -148,7 +148,7 @@
 
 uint64_t FakeFleet::Call(const std::string& node, HttpRequest request) {
   const uint64_t call = next_call_++;
-  answers_[call].asked = now_;
+  answers_[call].sent_at = now_;
   FeedLater(node, kSameDataCentreLatency,
             CallerRequest{call, std::move(request)});
   return call;
@@ -335,8 +335,8 @@
   if (answer.at != TimePoint()) std::abort();  // answered twice
   answer.at = now_;
   answer.response = effect.response;
-  if (answer.asked == TimePoint()) {  // announcements, operators
-    answer.asked = now_;
+  if (answer.sent_at == TimePoint()) {  // announcements, operators
+    answer.sent_at = now_;
     if (!keeps_history_) answers_.erase(effect.call);
     return;
   }
--- a/src/libnode/fakes/fake_fleet.h
+++ b/src/libnode/fakes/fake_fleet.h
@@ -68,7 +68,7 @@
 };
 
 struct FakeAnswer {
-  TimePoint asked{};
+  TimePoint sent_at{};
   TimePoint at{};
   HttpResponse response;
   std::string Verdict() const;
